--- a/core/elect.c
+++ b/core/elect.c
@@ -82,21 +82,21 @@
 {
 	e->grants = 0;
 	e->denials = 0;
-	e->resigned = false;
+	e->vote_resigned = false;
 	e->read_done = false;
 	e->asked_ms = now_ms;
 	change_role(e, ELECT_ASKING);
-	e->opt.actions->ask(e, e->opt.ctx);
+	e->opt.actions->request_votes(e, e->opt.ctx);
 	if (!e->reading) {
 		e->reading = true;
-		e->opt.actions->read(e, e->opt.ctx);
+		e->opt.actions->read_record(e, e->opt.ctx);
 	}
 }
 
 static bool
 may_take(const struct elect *e, int64_t now_ms)
 {
-	if (e->leader.id[0] == '\0' || e->resigned || e->gone)
+	if (e->leader.id[0] == '\0' || e->vote_resigned || e->leader_resigned)
 		return true;
 	/* Our former life led; it is over. */
 	if (strcmp(e->leader.id, e->opt.self) == 0)
@@ -127,7 +127,7 @@
 	}
 	e->taking_ms = now_ms;
 	change_role(e, ELECT_TAKING);
-	e->opt.actions->take(
+	e->opt.actions->write_record(
 	    e, e->leader.term + 1, e->leader.revision, e->opt.ctx);
 }
 
@@ -157,7 +157,7 @@
 adopt(struct elect *e, const struct elect_leader *leader, int64_t now_ms)
 {
 	e->leader = *leader;
-	e->gone = false;
+	e->leader_resigned = false;
 	e->leader_has_store = true;
 	e->heard_ms = now_ms - SILENCE_MS + GRACE_MS;
 	e->role = ELECT_FOLLOWER;
@@ -190,7 +190,7 @@
 		return false;
 	if (term > e->leader.term)
 		return true;
-	return e->gone || !e->leader_has_store ||
+	return e->leader_resigned || !e->leader_has_store ||
 	    now_ms - e->heard_ms >= AGREE_MS;
 }
 
@@ -204,7 +204,7 @@
 	else
 		e->denials++;
 	if (resigned)
-		e->resigned = true;
+		e->vote_resigned = true;
 }
 
 void
@@ -212,7 +212,7 @@
 {
 	if (term != e->leader.term || e->role == ELECT_LEADER)
 		return;
-	e->gone = true;
+	e->leader_resigned = true;
 	e->gone_alone = alone;
 	e->heard_ms = now_ms - SILENCE_MS;
 	e->retry_ms = 0;
@@ -270,13 +270,13 @@
 	if (e->role != ELECT_TAKING)
 		return;
 	if (result == TAKE_DONE) {
-		e->former_over = e->gone && e->gone_alone;
+		e->former_over = e->leader_resigned && e->gone_alone;
 		strlcpy(e->leader.id, e->opt.self, sizeof(e->leader.id));
 		strlcpy(e->leader.address, e->opt.address,
 		    sizeof(e->leader.address));
 		e->leader.incarnation = e->opt.incarnation;
 		e->leader.term++;
-		e->gone = false;
+		e->leader_resigned = false;
 		e->leader.revision = revision;
 		e->leader_has_store = true;
 		change_role(e, ELECT_LEADER);
--- a/core/elect.h
+++ b/core/elect.h
@@ -42,11 +42,11 @@
 
 struct elect_actions {
 	/* Ask every member whether it hears the leader of our term. */
-	void (*ask)(struct elect *, void *ctx);
+	void (*request_votes)(struct elect *, void *ctx);
 	/* Read the record and the pulse, then call elect_read(). */
-	void (*read)(struct elect *, void *ctx);
+	void (*read_record)(struct elect *, void *ctx);
 	/* Replace the record of that revision (0: none) by ours. */
-	void (*take)(
+	void (*write_record)(
 	    struct elect *, uint64_t term, int64_t revision, void *ctx);
 	/* elect->role or elect->leader changed. */
 	void (*changed)(struct elect *, void *ctx);
@@ -73,8 +73,8 @@
 	uint32_t members; /* others that the leader knows, it excluded */
 	uint32_t grants; /* of the question under way */
 	uint32_t denials;
-	bool resigned; /* the leader's own process says that it isn't */
-	bool gone; /* it has told so by itself */
+	bool vote_resigned; /* the leader's own process says that it isn't */
+	bool leader_resigned; /* it has told so by itself */
 	bool reading;
 	bool read_done; /* of the question under way */
 	int64_t asked_ms;
--- a/core/gossip.c
+++ b/core/gossip.c
@@ -186,7 +186,7 @@
 
 	if (target == NULL || target->record.address[0] == '\0')
 		return;
-	digest.ask = with_ask;
+	digest.probe = with_ask;
 	digest.nrecords = 0;
 	digest.nshards = 0;
 	put_record(&digest, &m->self, true);
@@ -203,9 +203,9 @@
 void
 gossip_ask(struct members *m, struct member *member, int64_t now_ms)
 {
-	if (member->asked_ms != 0)
+	if (member->probed_ms != 0)
 		return;
-	member->asked_ms = now_ms;
+	member->probed_ms = now_ms;
 	gossip_send(m, member, true, now_ms);
 }
 
@@ -222,7 +222,7 @@
 			return;
 		if (!member_accused(m, member) ||
 		    member->record.state == MEMBER_LEFT ||
-		    member->asked_ms != 0)
+		    member->probed_ms != 0)
 			continue;
 		gossip_ask(m, member, now_ms);
 		asks++;
--- a/core/kept.c
+++ b/core/kept.c
@@ -25,7 +25,7 @@
 LIST_HEAD(item_list, item);
 TAILQ_HEAD(item_queue, item);
 
-struct kept {
+struct response_cache {
 	struct kept_options o;
 	struct item_list table[TABLE_SIZE];
 	struct item_queue ages; /* oldest first */
@@ -33,21 +33,21 @@
 	size_t bytes;
 };
 
-static struct item_list *list_of(struct kept *, const char *);
-static struct item *find(struct kept *, const char *, uint64_t);
-static void item_free(struct kept *, struct item *);
-static void make_room(struct kept *, size_t, int64_t);
+static struct item_list *list_of(struct response_cache *, const char *);
+static struct item *find(struct response_cache *, const char *, uint64_t);
+static void item_free(struct response_cache *, struct item *);
+static void make_room(struct response_cache *, size_t, int64_t);
 
 static struct item_list *
-list_of(struct kept *k, const char *id)
+list_of(struct response_cache *k, const char *id)
 {
 	return &k->table[XXH64(id, strlen(id), 0) % TABLE_SIZE];
 }
 
-struct kept *
+struct response_cache *
 kept_open(const struct kept_options *o)
 {
-	struct kept *k;
+	struct response_cache *k;
 	int i;
 
 	if ((k = calloc(1, sizeof(*k))) == NULL)
@@ -60,7 +60,7 @@
 }
 
 void
-kept_close(struct kept *k)
+kept_close(struct response_cache *k)
 {
 	struct item *it, *next;
 
@@ -84,7 +84,7 @@
 }
 
 static struct item *
-find(struct kept *k, const char *id, uint64_t hash)
+find(struct response_cache *k, const char *id, uint64_t hash)
 {
 	struct item *it;
 
@@ -96,7 +96,7 @@
 }
 
 static void
-item_free(struct kept *k, struct item *it)
+item_free(struct response_cache *k, struct item *it)
 {
 	LIST_REMOVE(it, link);
 	TAILQ_REMOVE(&k->ages, it, age_link);
@@ -109,7 +109,7 @@
 }
 
 static void
-make_room(struct kept *k, size_t bytes, int64_t now_ms)
+make_room(struct response_cache *k, size_t bytes, int64_t now_ms)
 {
 	struct item *it, *next;
 
@@ -124,7 +124,7 @@
 }
 
 void
-kept_put(struct kept *k, const char *id, uint64_t hash,
+kept_put(struct response_cache *k, const char *id, uint64_t hash,
     const struct kept_answer *a, int64_t now_ms)
 {
 	struct item *it;
@@ -161,8 +161,8 @@
 }
 
 int
-kept_get(struct kept *k, const char *id, uint64_t hash, int64_t now_ms,
-    struct kept_answer *a)
+kept_get(struct response_cache *k, const char *id, uint64_t hash,
+    int64_t now_ms, struct kept_answer *a)
 {
 	struct item *it;
 
--- a/core/kept.h
+++ b/core/kept.h
@@ -12,7 +12,7 @@
  * matters, so that no caller sees the answer to somebody else's.
  */
 
-struct kept;
+struct response_cache;
 
 struct kept_key {
 	const char *id;
@@ -36,18 +36,18 @@
 };
 
 /* NULL without memory. */
-struct kept *kept_open(const struct kept_options *);
-void kept_close(struct kept *);
+struct response_cache *kept_open(const struct kept_options *);
+void kept_close(struct response_cache *);
 
 /* The hash by which a request is told from another one with its id. */
 uint64_t kept_hash(const struct kept_key *);
 
 /* Copies the answer; one that is too large, or no memory: not kept. */
-void kept_put(struct kept *, const char *id, uint64_t hash,
+void kept_put(struct response_cache *, const char *id, uint64_t hash,
     const struct kept_answer *, int64_t now_ms);
 
 /* 0, or -1 if there is none.  The answer is valid until the next call. */
-int kept_get(struct kept *, const char *id, uint64_t hash, int64_t now_ms,
-    struct kept_answer *);
+int kept_get(struct response_cache *, const char *id, uint64_t hash,
+    int64_t now_ms, struct kept_answer *);
 
 #endif /* KEPT_H */
--- a/core/member.c
+++ b/core/member.c
@@ -101,13 +101,13 @@
 	struct member **array, *member;
 	size_t room;
 
-	if (m->count == m->room) {
-		room = m->room == 0 ? 16 : m->room * 2;
+	if (m->count == m->capacity) {
+		room = m->capacity == 0 ? 16 : m->capacity * 2;
 		array = reallocarray(m->array, room, sizeof(struct member *));
 		if (array == NULL)
 			return NULL;
 		m->array = array;
-		m->room = room;
+		m->capacity = room;
 	}
 	if ((member = calloc(1, sizeof(*member))) == NULL)
 		return NULL;
@@ -157,7 +157,7 @@
 note_heard(struct members *m, struct member *member, int64_t now_ms)
 {
 	member->heard_ms = now_ms;
-	member->asked_ms = 0;
+	member->probed_ms = 0;
 	TAILQ_REMOVE(&m->heard, member, heard);
 	TAILQ_INSERT_HEAD(&m->heard, member, heard);
 }
@@ -229,7 +229,7 @@
 	/* What waited in the sockets during a pause is read at once: old. */
 	if (now_ms - m->paused_ms >= m->options.heartbeat_ms)
 		m->rejoin_ms = 0;
-	if (digest->ask && digest->nrecords > 0)
+	if (digest->probe && digest->nrecords > 0)
 		gossip_send(m, find(m, digest->records[0].id), false, now_ms);
 }
 
@@ -336,8 +336,8 @@
 asked_in_vain(
     const struct members *m, const struct member *member, int64_t now_ms)
 {
-	return member->asked_ms != 0 &&
-	    now_ms - member->asked_ms >= m->options.heartbeat_ms;
+	return member->probed_ms != 0 &&
+	    now_ms - member->probed_ms >= m->options.heartbeat_ms;
 }
 
 struct member_verdict
--- a/core/member.h
+++ b/core/member.h
@@ -68,8 +68,8 @@
 
 /* One gossip message.  records[0] is the sender's own. */
 struct member_digest {
-	bool
-	    ask; /* the sender doubts that the receiver lives: answer at once */
+	bool probe; /* the sender doubts that the receiver lives: answer at once
+		     */
 	size_t nrecords;
 	struct member_record records[MEMBER_DIGEST_MAX];
 	size_t nshards;
@@ -92,7 +92,7 @@
 	struct member_record record;
 	uint64_t details_counter; /* the counter its details came with */
 	int64_t heard_ms;
-	int64_t asked_ms; /* asked directly whether it lives; 0: not */
+	int64_t probed_ms; /* asked directly whether it lives; 0: not */
 	bool registered; /* its registry key is there */
 	bool listed; /* told since member_registry_begin */
 	bool was_registered;
--- a/core/member_int.h
+++ b/core/member_int.h
@@ -29,7 +29,7 @@
 	struct member_queue turn;
 	struct member **array; /* all, for random picks */
 	size_t count;
-	size_t room;
+	size_t capacity;
 	struct shard_tree shards;
 	struct shard_queue shard_turn;
 	gsl_rng *rng;
--- a/core/recent.c
+++ b/core/recent.c
@@ -10,7 +10,7 @@
 	int64_t sent_ms;
 };
 
-struct recent {
+struct recent_ids {
 	struct recent_options o;
 	struct mark *marks;
 };
@@ -26,10 +26,10 @@
 	return hash != 0 ? hash : 1;
 }
 
-struct recent *
+struct recent_ids *
 recent_open(const struct recent_options *o)
 {
-	struct recent *r;
+	struct recent_ids *r;
 
 	if ((r = calloc(1, sizeof(*r))) == NULL)
 		return NULL;
@@ -43,14 +43,14 @@
 }
 
 void
-recent_close(struct recent *r)
+recent_close(struct recent_ids *r)
 {
 	free(r->marks);
 	free(r);
 }
 
 void
-recent_add(struct recent *r, const char *id, int64_t now_ms)
+recent_add(struct recent_ids *r, const char *id, int64_t now_ms)
 {
 	struct mark *m;
 	uint64_t hash;
@@ -62,7 +62,7 @@
 }
 
 bool
-recent_has(const struct recent *r, const char *id, int64_t now_ms)
+recent_has(const struct recent_ids *r, const char *id, int64_t now_ms)
 {
 	const struct mark *m;
 	uint64_t hash;
--- a/core/recent.h
+++ b/core/recent.h
@@ -12,7 +12,7 @@
  * A table of hashes of constant size: a newer id may push an older one out.
  */
 
-struct recent;
+struct recent_ids;
 
 struct recent_options {
 	uint32_t ids_max; /* a power of two */
@@ -20,10 +20,10 @@
 };
 
 /* NULL without memory. */
-struct recent *recent_open(const struct recent_options *);
-void recent_close(struct recent *);
-void recent_add(struct recent *, const char *id, int64_t now_ms);
+struct recent_ids *recent_open(const struct recent_options *);
+void recent_close(struct recent_ids *);
+void recent_add(struct recent_ids *, const char *id, int64_t now_ms);
 /* It, or an id of the same hash, went out within keep_ms and is still known. */
-bool recent_has(const struct recent *, const char *id, int64_t now_ms);
+bool recent_has(const struct recent_ids *, const char *id, int64_t now_ms);
 
 #endif /* RECENT_H */
--- a/core/route.c
+++ b/core/route.c
@@ -138,7 +138,7 @@
 	best_score = 0;
 	for (i = 0; i < r->nmembers; i++) {
 		member = &r->members[i];
-		r->draws++;
+		r->evaluations++;
 		if (!r->usable(member->data, now_ms, &until_ms)) {
 			if (route->until_ms == 0 || until_ms < route->until_ms)
 				route->until_ms = until_ms;
--- a/core/route.h
+++ b/core/route.h
@@ -36,7 +36,7 @@
 	const struct route_member *members;
 	size_t nmembers;
 	uint64_t version; /* of the members */
-	uint64_t draws; /* members that were weighed */
+	uint64_t evaluations; /* members that were weighed */
 	route_usable *usable;
 };
 
--- a/lagoonpind/call_admit.c
+++ b/lagoonpind/call_admit.c
@@ -16,8 +16,8 @@
 	struct kept_answer kept;
 
 	if (c->idempotent ||
-	    kept_get(c->callers->kept, c->id, c->hash, c->arrived_ms, &kept) !=
-		0)
+	    kept_get(c->callers->responses, c->id, c->hash, c->arrived_ms,
+		&kept) != 0)
 		return false;
 	call_answer(c, &kept, OUTCOME_KEPT_ANSWER);
 	return true;
--- a/lagoonpind/call_claim.c
+++ b/lagoonpind/call_claim.c
@@ -169,15 +169,15 @@
 	    "lagoonpin_claims_refused", outcome_reason_name(reasons[why]));
 	call->facts.foreign_claim = why == CLAIM_REFUSED_DUPLICATE;
 	if (why == CLAIM_REFUSED_DUPLICATE)
-		recent_add(cs->recent, call->id, clock_now_ms());
+		recent_add(cs->recent_ids, call->id, clock_now_ms());
 	explain_attempt(
 	    call, call->waiting, outcome_reason_name(reasons[why]), 0);
 	attempt_end(call->waiting, OUTCOME_ATTEMPT_NOT_SENT);
 	call->waiting = NULL;
 	/* The answer to the one that holds the claim may be here by now. */
 	if (why == CLAIM_REFUSED_DUPLICATE &&
-	    kept_get(cs->kept, call->id, call->hash, clock_now_ms(), &kept) ==
-		0) {
+	    kept_get(cs->responses, call->id, call->hash, clock_now_ms(),
+		&kept) == 0) {
 		admit_cancel(&call->item);
 		call_answer(call, &kept, OUTCOME_KEPT_ANSWER);
 		return;
--- a/lagoonpind/call_collect.c
+++ b/lagoonpind/call_collect.c
@@ -172,7 +172,7 @@
 {
 	if (c->idempotent)
 		return;
-	kept_put(c->callers->kept, c->id, c->hash, answer, clock_now_ms());
+	kept_put(c->callers->responses, c->id, c->hash, answer, clock_now_ms());
 }
 
 static struct kept_answer
--- a/lagoonpind/call_read.c
+++ b/lagoonpind/call_read.c
@@ -57,7 +57,7 @@
 	LIST_INIT(&c->attempts);
 	detail = "";
 	reason = read_all(c, r, &detail);
-	if (c->own_id && recent_has(cs->recent, c->id, c->arrived_ms))
+	if (c->own_id && recent_has(cs->recent_ids, c->id, c->arrived_ms))
 		c->facts.repeated = true;
 	if (reason != OUTCOME_COMPLETE) {
 		call_refuse_request(cs, r, c->id, &c->facts, reason, detail);
--- a/lagoonpind/callers.c
+++ b/lagoonpind/callers.c
@@ -94,9 +94,9 @@
 	ao.quota = cs->quota;
 	if ((cs->admit = admit_open(&ao)) == NULL)
 		return -1;
-	if ((cs->kept = kept_open(&ko)) == NULL)
+	if ((cs->responses = kept_open(&ko)) == NULL)
 		return -1;
-	if ((cs->recent = recent_open(&ro)) == NULL)
+	if ((cs->recent_ids = recent_open(&ro)) == NULL)
 		return -1;
 	if ((cs->explains = explain_open(EXPLAIN_RING)) == NULL)
 		return -1;
@@ -414,8 +414,8 @@
 	endpoints_close(cs);
 	claim_store_close(cs->claim_store);
 	explain_close(cs->explains);
-	recent_close(cs->recent);
-	kept_close(cs->kept);
+	recent_close(cs->recent_ids);
+	kept_close(cs->responses);
 	admit_close(cs->admit);
 	quota_close(cs->quota);
 	free(cs);
--- a/lagoonpind/callers.h
+++ b/lagoonpind/callers.h
@@ -176,8 +176,8 @@
 	struct entry *entry;
 	struct admit *admit;
 	struct quota *quota;
-	struct kept *kept;
-	struct recent *recent;
+	struct response_cache *responses;
+	struct recent_ids *recent_ids;
 	struct claim_store *claim_store;
 	struct claim_ops claim_ops;
 	struct choose_options choose;
--- a/lib/wire.c
+++ b/lib/wire.c
@@ -140,7 +140,7 @@
 
 	msgpack_packer_init(&pk, out, msgpack_sbuffer_write);
 	msgpack_pack_array(&pk, DIGEST_ITEMS);
-	msgpack_pack_int(&pk, digest->ask ? 1 : 0);
+	msgpack_pack_int(&pk, digest->probe ? 1 : 0);
 	msgpack_pack_array(&pk, digest->nrecords);
 	for (i = 0; i < digest->nrecords; i++)
 		put_record(&pk, &digest->records[i]);
@@ -204,7 +204,7 @@
 	struct member_digest *digest = out;
 	struct wire_reader inner;
 
-	digest->ask = wire_uint(r, 1) == 1;
+	digest->probe = wire_uint(r, 1) == 1;
 	inner = wire_array(r, MEMBER_DIGEST_MAX);
 	for (digest->nrecords = 0; inner.error == WIRE_OK && inner.left > 0;
 	     digest->nrecords++)
--- a/tests/test_kept.cc
+++ b/tests/test_kept.cc
@@ -10,7 +10,7 @@
 
 struct Kept : testing::Test {
 	kept_options o = { 3, 2000, 1000 };
-	kept *k = kept_open(&o);
+	response_cache *k = kept_open(&o);
 	kept_answer found = {};
 
 	~Kept() override
--- a/tests/test_recent.cc
+++ b/tests/test_recent.cc
@@ -11,7 +11,7 @@
 TEST(Recent, RemembersForAWhileInConstantSpace)
 {
 	recent_options o = { 1024, 1000 };
-	recent *r = recent_open(&o);
+	recent_ids *r = recent_open(&o);
 	recent_add(r, "p1", 0);
 	EXPECT_TRUE(recent_has(r, "p1", 999));
 	EXPECT_FALSE(recent_has(r, "p1", 1000));
--- a/tests/test_route.cc
+++ b/tests/test_route.cc
@@ -153,12 +153,12 @@
 	for (int i = 0; i < 500; i++)
 		route_lost(
 		    &fleet.routes, ("w" + std::to_string(i)).c_str(), 1000);
-	uint64_t before = fleet.routes.draws;
+	uint64_t before = fleet.routes.evaluations;
 	for (int round = 0; round < 10; round++) {
 		for (int i = 0; i < 890; i++)
 			fleet.Choose("w" + std::to_string(i), 1000 + round);
 	}
-	EXPECT_EQ(fleet.routes.draws, before);
+	EXPECT_EQ(fleet.routes.evaluations, before);
 }
 
 // A member that lost an order rests: its workers go to the next best, and are
--- a/tests/test_wire.cc
+++ b/tests/test_wire.cc
@@ -153,7 +153,7 @@
 	static struct member_digest d, back;
 	Buffer out;
 
-	d.ask = true;
+	d.probe = true;
 	d.nrecords = MEMBER_DIGEST_MAX;
 	d.records[0] = { "e1", 5, 6, MEMBER_LEAVING, true, true, 42, 3, 2, 4,
 		"10.0.0.1:7100", "sala-sur" };
@@ -166,7 +166,7 @@
 	EXPECT_EQ(0,
 	    memcmp(&d.records[0], &back.records[0],
 		offsetof(struct member_record, spare_connections)));
-	EXPECT_TRUE(back.ask);
+	EXPECT_TRUE(back.probe);
 	EXPECT_STREQ("10.0.0.1:7100", back.records[0].address);
 	EXPECT_STREQ("sala-sur", back.records[0].data_center);
 	EXPECT_EQ(8u, back.records[1].counter);
