--- a/core/sched.c
+++ b/core/sched.c
@@ -19,7 +19,7 @@
 	s->random = options->seed | 1;
 	RB_INIT(&s->jobs);
 	RB_INIT(&s->workers);
-	RB_INIT(&s->steps);
+	RB_INIT(&s->workers_by_due);
 	LIST_INIT(&s->unsaved);
 	TAILQ_INIT(&s->open);
 	TAILQ_INIT(&s->ended);
@@ -60,7 +60,7 @@
 	}
 	crash_free(s);
 	press_free(s->press);
-	free(s->left);
+	free(s->inherited_hashes);
 	free(s);
 }
 
--- a/core/sched_inherit.c
+++ b/core/sched_inherit.c
@@ -106,15 +106,16 @@
 		s->any_left = true;
 		return;
 	}
-	keys = reallocarray(
-	    s->left, s->nleft + worker->nleft_tasks + 1, sizeof(*keys));
+	keys = reallocarray(s->inherited_hashes,
+	    s->ninherited_hashes + worker->nleft_tasks + 1, sizeof(*keys));
 	if (keys == NULL) {
 		s->any_left = true;
 		return;
 	}
-	s->left = keys;
+	s->inherited_hashes = keys;
 	for (i = 0; i < worker->nleft_tasks; i++)
-		s->left[s->nleft++] = key_of(&worker->left_tasks[i]);
+		s->inherited_hashes[s->ninherited_hashes++] =
+		    key_of(&worker->left_tasks[i]);
 }
 
 void
@@ -158,7 +159,7 @@
 		return;
 	s->unsettled = unsettled;
 	s->place_wanted = true;
-	s->nleft = 0;
+	s->ninherited_hashes = 0;
 	s->any_left = s->record_lost;
 	s->former_left = s->record_lost;
 	RB_FOREACH (worker, sched_worker_tree, &s->workers) {
@@ -169,8 +170,9 @@
 		if (worker->inherited == RECORD_IN_USE)
 			s->former_left = true;
 	}
-	if (s->nleft > 1)
-		qsort(s->left, s->nleft, sizeof(*s->left), compare_keys);
+	if (s->ninherited_hashes > 1)
+		qsort(s->inherited_hashes, s->ninherited_hashes,
+		    sizeof(*s->inherited_hashes), compare_keys);
 }
 
 bool
@@ -188,10 +190,10 @@
 	 */
 	if (job->origin != ORIGIN_INHERITED)
 		return job->origin == ORIGIN_EARLY && s->former_left;
-	if (s->any_left || s->nleft == 0)
+	if (s->any_left || s->ninherited_hashes == 0)
 		return s->any_left;
 	sched_task_name(task, &name);
 	key = key_of(&name);
-	return bsearch(&key, s->left, s->nleft, sizeof(key), compare_keys) !=
-	    NULL;
+	return bsearch(&key, s->inherited_hashes, s->ninherited_hashes,
+		   sizeof(key), compare_keys) != NULL;
 }
--- a/core/sched_worker.c
+++ b/core/sched_worker.c
@@ -53,14 +53,14 @@
 {
 	worker->step_ms = at_ms;
 	worker->in_steps = true;
-	RB_INSERT(sched_step_tree, &s->steps, worker);
+	RB_INSERT(sched_step_tree, &s->workers_by_due, worker);
 }
 
 static void
 steps_remove(struct sched *s, struct sched_worker *worker)
 {
 	if (worker->in_steps)
-		RB_REMOVE(sched_step_tree, &s->steps, worker);
+		RB_REMOVE(sched_step_tree, &s->workers_by_due, worker);
 	worker->in_steps = false;
 }
 
@@ -268,7 +268,7 @@
 	deadline_ms = lease_renew(s, worker, now_ms);
 	worker->look_out = true;
 	worker->look_sent_ms = now_ms;
-	s->counts.looks++;
+	s->counts.polls++;
 	s->opt.actions->look(s, worker, deadline_ms, wait_ms, s->opt.ctx);
 }
 
@@ -410,7 +410,7 @@
 		LIST_FOREACH (worker, &s->unsaved, unsaved_link)
 			worker_touch(s, worker);
 	}
-	while ((worker = RB_MIN(sched_step_tree, &s->steps)) != NULL &&
+	while ((worker = RB_MIN(sched_step_tree, &s->workers_by_due)) != NULL &&
 	    worker->step_ms <= now_ms && !s->deposed)
 		step_one(s, worker, now_ms);
 	if (worker != NULL)
--- a/core/scheduler.h
+++ b/core/scheduler.h
@@ -250,7 +250,7 @@
 struct sched_worker {
 	RB_ENTRY(sched_worker) by_id;
 	RB_ENTRY(sched_worker)
-	by_step; /* in sched.steps, unless it is in one */
+	by_step; /* in workers_by_due, unless it is in one */
 	LIST_ENTRY(sched_worker) unsaved_link; /* while ends isn't empty */
 	bool in_steps;
 	int64_t step_ms; /* its next step is due; 0: something happened */
@@ -431,7 +431,7 @@
 struct sched_counts {
 	uint64_t starts;
 	uint64_t refused_starts;
-	uint64_t looks;
+	uint64_t polls;
 	uint64_t failures;
 	uint64_t lapsed;
 	uint64_t stops;
@@ -465,7 +465,8 @@
 	struct sched_jobs dirty;
 	struct sched_jobs ending; /* ended, their tasks still held */
 	struct sched_worker_tree workers;
-	struct sched_step_tree steps; /* the same by when they are due */
+	struct sched_step_tree
+	    workers_by_due; /* the same by when they are due */
 	LIST_HEAD(, sched_worker) unsaved; /* with ends to acknowledge */
 	bool any_saved; /* since the last step */
 	int64_t repeats_ms; /* repeated jobs aren't looked at before */
@@ -487,8 +488,9 @@
 	bool any_left; /* any task may run on one */
 	bool former_left; /* the last leader may start tasks on one */
 	bool record_lost; /* which they are isn't known */
-	uint64_t *left; /* hashes of the tasks that may run there, sorted */
-	size_t nleft;
+	uint64_t *inherited_hashes; /* hashes of the tasks that may run there,
+				       sorted */
+	size_t ninherited_hashes;
 	int64_t next_ms; /* when sched_act() is due at the latest */
 	uint64_t random;
 	struct press *press;
--- a/entry/lead.c
+++ b/entry/lead.c
@@ -353,7 +353,7 @@
 	    load.waiting, load.waiting_fillers, load.serving, load.late,
 	    load.paced, l->sched->serving_use,
 	    (unsigned long long)l->sched->counts.starts,
-	    (unsigned long long)l->sched->counts.looks,
+	    (unsigned long long)l->sched->counts.polls,
 	    (unsigned long long)l->sched->counts.stills,
 	    (unsigned long long)l->sched->counts.moves);
 }
