--- a/bench/lead_cost.c
+++ b/bench/lead_cost.c
@@ -187,7 +187,7 @@
 		look.finished = &finished;
 		look.nfinished = 1;
 	}
-	sched_look_answered(f->s, worker, ANSWER_OK, &look, f->now_ms);
+	sched_poll_answered(f->s, worker, ANSWER_OK, &look, f->now_ms);
 }
 
 static void
@@ -225,7 +225,7 @@
 		answer_look(f, worker, NULL);
 		/* Lost a call lately, and is asked again. */
 		if (i < lost)
-			sched_look_answered(
+			sched_poll_answered(
 			    f->s, worker, ANSWER_LOST, NULL, f->now_ms);
 	}
 	runs = workers * RUNS_PER_WORKER;
--- a/core/sched.c
+++ b/core/sched.c
@@ -126,11 +126,11 @@
 	s->next_ms = now_ms + STEP_MAX_MS;
 	open_repeats(s, now_ms);
 	leave_move(s, now_ms);
-	crash_watch(s, now_ms);
+	crash_update_rate(s, now_ms);
 	worker_steps(s, now_ms);
 	if (s->deposed)
 		return;
-	inherit_check(s, now_ms);
+	inherit_update(s, now_ms);
 	place_waiting(s, now_ms);
 	job_retire_old(s, now_ms);
 	if (!TAILQ_EMPTY(&s->dirty))
--- a/core/sched_answer.c
+++ b/core/sched_answer.c
@@ -36,7 +36,7 @@
 		return false;
 	}
 	if (answer != ANSWER_LOST && answer != ANSWER_NOT_SENT && clock_ms > 0)
-		worker_heard(s, worker, clock_ms, now_ms);
+		worker_note_answer(s, worker, clock_ms, now_ms);
 	if (answer == ANSWER_FENCED) {
 		depose(s);
 		return false;
@@ -103,7 +103,7 @@
 		run->answered_ms = now_ms;
 		run->begun_ms = now_ms;
 		run->percent_ms = now_ms;
-		job_begin(task_job(run->task));
+		job_mark_begun(task_job(run->task));
 		break;
 	case ANSWER_LOST:
 		start_lost(s, run, now_ms);
@@ -175,11 +175,11 @@
 
 	lasts = task->step->spec->lasts;
 	run = run_find(worker, &end->task, end->attempt);
-	task_keep_checkpoint(task, end->checkpoint);
+	task_set_checkpoint(task, end->checkpoint);
 	if (end->how == END_DONE && !lasts)
-		health_done(worker, run, now_ms);
+		health_task_done(worker, run, now_ms);
 	if (end->how == END_FAILED)
-		health_failed(worker, task_job(task), now_ms);
+		health_task_failed(worker, task_job(task), now_ms);
 	if (run != NULL) {
 		loss_survived(task, run, now_ms);
 		run_settle(s, run);
@@ -190,7 +190,7 @@
 		task->avoid = worker->serial;
 		task_failed(s, task, end->attempt, now_ms);
 	} else if (task->checkpoint != NULL && !task_job(task)->in_ended)
-		job_touch(s, task_job(task));
+		job_mark_dirty(s, task_job(task));
 	if (task->state == SCHED_DONE)
 		run_stop_others(s, task, NULL);
 	else
@@ -302,7 +302,7 @@
 			    (task = job_task(s, &stray->task)) == NULL)
 				continue;
 			adopt(s, worker, task, stray->attempt, now_ms);
-			job_begin(job);
+			job_mark_begun(job);
 		}
 	}
 }
@@ -347,8 +347,8 @@
 			run->begun_ms = now_ms;
 	}
 	run->listed_ms = now_ms;
-	job_begin(task_job(run->task));
-	task_keep_checkpoint(run->task, row->checkpoint);
+	job_mark_begun(task_job(run->task));
+	task_set_checkpoint(run->task, row->checkpoint);
 	if (row->percent != run->percent) {
 		run->percent = row->percent;
 		run->percent_ms = now_ms;
@@ -383,7 +383,7 @@
 }
 
 void
-sched_ends_told(struct sched *s, struct sched_worker *worker,
+sched_late_ends_reported(struct sched *s, struct sched_worker *worker,
     const struct look_result *result, int64_t now_ms)
 {
 	size_t i;
@@ -394,7 +394,7 @@
 }
 
 void
-sched_look_answered(struct sched *s, struct sched_worker *worker,
+sched_poll_answered(struct sched *s, struct sched_worker *worker,
     enum worker_answer answer, const struct look_result *result, int64_t now_ms)
 {
 	bool complete;
@@ -415,7 +415,7 @@
 		worker_missed(s, worker, now_ms);
 		return;
 	}
-	worker_heard(s, worker, result->clock_ms, now_ms);
+	worker_note_answer(s, worker, result->clock_ms, now_ms);
 	worker->look_at_ms = now_ms;
 	worker->unneeded = 0;
 	worker_drop_strays(worker);
--- a/core/sched_crash.c
+++ b/core/sched_crash.c
@@ -21,8 +21,8 @@
 };
 
 /* A life of a worker that lapsed; whether it crashed isn't known. */
-struct sched_lost_life {
-	LIST_ENTRY(sched_lost_life) link;
+struct sched_lost_incarnation {
+	LIST_ENTRY(sched_lost_incarnation) link;
 	char id[SCHED_WORKER_ID_MAX];
 	char address[SCHED_ADDRESS_MAX];
 	uint32_t serial;
@@ -34,7 +34,7 @@
 static void
 keep_life(struct sched *s, const struct sched_worker *worker, int64_t now_ms)
 {
-	struct sched_lost_life *life;
+	struct sched_lost_incarnation *life;
 	const struct sched_run *run;
 	size_t n;
 
@@ -69,7 +69,7 @@
 }
 
 static void
-drop_life(struct sched_lost_life *life)
+drop_life(struct sched_lost_incarnation *life)
 {
 	LIST_REMOVE(life, link);
 	free(life);
@@ -83,14 +83,14 @@
 }
 
 void
-crash_of_empty(struct sched *s, const struct sched_worker *worker)
+crash_idle_worker_lost(struct sched *s, const struct sched_worker *worker)
 {
 	if (went_unannounced(worker) && !worker->dead && !worker->lapsed)
 		blame_crashed(&s->crash_rate);
 }
 
 void
-crash_of_worker(struct sched *s, struct sched_worker *worker,
+crash_worker_lost(struct sched *s, struct sched_worker *worker,
     enum sched_loss cause, int64_t now_ms)
 {
 	struct sched_run *run;
@@ -107,7 +107,7 @@
 }
 
 static void
-settle_life(struct sched *s, struct sched_lost_life *life,
+settle_life(struct sched *s, struct sched_lost_incarnation *life,
     enum sched_loss cause, int64_t now_ms)
 {
 	size_t i;
@@ -121,10 +121,10 @@
 }
 
 void
-crash_settle(struct sched *s, const struct sched_worker *worker,
+crash_resolve(struct sched *s, const struct sched_worker *worker,
     enum sched_loss cause, int64_t now_ms)
 {
-	struct sched_lost_life *life, *next;
+	struct sched_lost_incarnation *life, *next;
 
 	for (life = LIST_FIRST(&s->lost_lives); life != NULL; life = next) {
 		next = LIST_NEXT(life, link);
@@ -134,9 +134,9 @@
 }
 
 void
-crash_listed(struct sched *s, const struct sched_worker *worker, int64_t now_ms)
+crash_worker_listed(struct sched *s, const struct sched_worker *worker, int64_t now_ms)
 {
-	struct sched_lost_life *life, *next;
+	struct sched_lost_incarnation *life, *next;
 
 	for (life = LIST_FIRST(&s->lost_lives); life != NULL; life = next) {
 		next = LIST_NEXT(life, link);
@@ -163,9 +163,9 @@
 }
 
 void
-crash_watch(struct sched *s, int64_t now_ms)
+crash_update_rate(struct sched *s, int64_t now_ms)
 {
-	struct sched_lost_life *life, *next;
+	struct sched_lost_incarnation *life, *next;
 
 	if (s->crash_rate.at_ms != 0 &&
 	    now_ms - s->crash_rate.at_ms < WATCH_EVERY_MS)
--- a/core/sched_headroom.c
+++ b/core/sched_headroom.c
@@ -41,7 +41,7 @@
 }
 
 void
-headroom_opened(
+headroom_add_demand(
     struct sched_queue *queue, const struct graph_step *spec, int64_t now_ms)
 {
 	struct sched_demand *demand;
--- a/core/sched_health.c
+++ b/core/sched_health.c
@@ -44,7 +44,7 @@
 }
 
 void
-health_done(
+health_task_done(
     struct sched_worker *worker, const struct sched_run *run, int64_t now_ms)
 {
 	worker->failed_row = 0;
@@ -55,7 +55,7 @@
 }
 
 void
-health_failed(
+health_task_failed(
     struct sched_worker *worker, const struct sched_job *job, int64_t now_ms)
 {
 	uint32_t shift;
@@ -74,7 +74,7 @@
 
 /* A task was placed on a worker under suspicion: wait for its end. */
 void
-health_placed(struct sched_worker *worker, int64_t now_ms)
+health_task_placed(struct sched_worker *worker, int64_t now_ms)
 {
 	if (worker->failed_row >= FAILED_ROW)
 		worker->probe_ms = now_ms + PROBE_FIRST_MS;
@@ -104,7 +104,7 @@
 }
 
 void
-health_watch(struct sched *s, struct sched_worker *worker, int64_t now_ms)
+health_check_progress(struct sched *s, struct sched_worker *worker, int64_t now_ms)
 {
 	struct sched_run *run;
 
@@ -118,7 +118,7 @@
 			continue;
 		}
 		run->task->avoid = worker->serial;
-		health_failed(worker, task_job(run->task), now_ms);
+		health_task_failed(worker, task_job(run->task), now_ms);
 		run_want_stop(s, run);
 	}
 }
--- a/core/sched_inherit.c
+++ b/core/sched_inherit.c
@@ -130,7 +130,7 @@
 {
 	int64_t lapses_ms;
 
-	lapses_ms = worker_unheard_lapses(s);
+	lapses_ms = lease_former_expiry_ms(s);
 	if (now_ms >= lapses_ms)
 		s->record_lost = false;
 	else
@@ -138,7 +138,7 @@
 }
 
 void
-inherit_check(struct sched *s, int64_t now_ms)
+inherit_update(struct sched *s, int64_t now_ms)
 {
 	struct sched_worker *worker;
 	uint64_t unsettled;
@@ -176,7 +176,7 @@
 }
 
 bool
-inherit_holds(const struct sched *s, const struct sched_task *task)
+inherit_blocks(const struct sched *s, const struct sched_task *task)
 {
 	const struct sched_job *job;
 	struct task_name name;
--- a/core/sched_int.h
+++ b/core/sched_int.h
@@ -6,23 +6,23 @@
 /* Shared by the files of the scheduler; not for its callers. */
 
 /* sched_job.c */
-void job_touch(struct sched *, struct sched_job *);
-void job_begin(struct sched_job *);
+void job_mark_dirty(struct sched *, struct sched_job *);
+void job_mark_begun(struct sched_job *);
 void job_open_due(struct sched *, struct sched_job *, int64_t now_ms);
 struct sched_task *job_task(struct sched *, const struct task_name *);
-void task_wait(
+void task_enqueue(
     struct sched *, struct sched_task *, int64_t not_before_ms, int64_t now_ms);
 void task_done(struct sched *, struct sched_task *, int64_t now_ms);
 void task_failed(
     struct sched *, struct sched_task *, uint32_t attempt, int64_t now_ms);
-void task_keep_checkpoint(struct sched_task *, const char *);
+void task_set_checkpoint(struct sched_task *, const char *);
 /* A task that a former leader's progress names; NULL: there is none. */
 struct sched_task *job_loaded_task(
     struct sched_job *, uint32_t number, uint32_t step, uint32_t index);
 /* It can't be done: it ends as failed. */
-void job_give_up(struct sched *, struct sched_job *, int64_t now_ms);
+void job_fail(struct sched *, struct sched_job *, int64_t now_ms);
 struct sched_job *task_job(const struct sched_task *);
-void task_leave_waiting(struct sched_task *, enum sched_task_state);
+void task_dequeue(struct sched_task *, enum sched_task_state);
 void job_discard(struct sched *, struct sched_job *);
 /* The steps of occurrences that aren't done. */
 void job_each_step(const struct sched_job *,
@@ -64,16 +64,16 @@
 
 /* sched_crash.c */
 /* That life is over, and all that ran there.  Call before it is settled. */
-void crash_of_worker(
+void crash_worker_lost(
     struct sched *, struct sched_worker *, enum sched_loss, int64_t now_ms);
 /* The same of one where nothing ran, as it is forgotten. */
-void crash_of_empty(struct sched *, const struct sched_worker *);
+void crash_idle_worker_lost(struct sched *, const struct sched_worker *);
 /* What became of a worker that had lapsed. */
-void crash_settle(struct sched *, const struct sched_worker *, enum sched_loss,
+void crash_resolve(struct sched *, const struct sched_worker *, enum sched_loss,
     int64_t now_ms);
 /* It is in the list: what was at its address before has crashed. */
-void crash_listed(struct sched *, const struct sched_worker *, int64_t now_ms);
-void crash_watch(struct sched *, int64_t now_ms);
+void crash_worker_listed(struct sched *, const struct sched_worker *, int64_t now_ms);
+void crash_update_rate(struct sched *, int64_t now_ms);
 void crash_free(struct sched *);
 
 /* sched_loss.c */
@@ -97,32 +97,32 @@
     const struct sched *, const struct sched_task *, int64_t now_ms);
 
 /* sched_lease.c */
-void worker_heard(
+void worker_note_answer(
     struct sched *, struct sched_worker *, int64_t clock_ms, int64_t now_ms);
 /* Its clock now, as far as it is known. */
 int64_t worker_clock(const struct sched_worker *, int64_t now_ms);
 /* When its clock has surely passed a time on it. */
-int64_t worker_passes(const struct sched_worker *, int64_t worker_ms);
+int64_t worker_deadline_local_ms(const struct sched_worker *, int64_t worker_ms);
 /* When a worker that hasn't answered this leader has surely lapsed. */
-int64_t worker_unheard_lapses(const struct sched *);
+int64_t lease_former_expiry_ms(const struct sched *);
 /* When all that runs there has surely lapsed. */
-int64_t lease_lapses(const struct sched *, const struct sched_worker *);
+int64_t lease_expiry_ms(const struct sched *, const struct sched_worker *);
 /* For a look that is sent now: until when it renews; 0: it doesn't. */
 int64_t lease_renew(
     const struct sched *, struct sched_worker *, int64_t now_ms);
 /* It has been silent so long that its lease is left to expire. */
-bool lease_is_left(const struct sched_worker *, int64_t now_ms);
+bool worker_is_silent(const struct sched_worker *, int64_t now_ms);
 /* Bring what a next leader needs to know of it up to date. */
-void lease_record(struct sched *, struct sched_worker *, int64_t now_ms);
-void lease_want_record(
+void lease_update_record(struct sched *, struct sched_worker *, int64_t now_ms);
+void lease_request_record(
     struct sched *, struct sched_worker *, enum worker_record);
 
 /* sched_inherit.c */
 /* It is known that nothing runs there. */
 bool worker_is_empty(const struct sched_worker *);
-void inherit_check(struct sched *, int64_t now_ms);
+void inherit_update(struct sched *, int64_t now_ms);
 /* The task may run on a worker that hasn't answered this leader. */
-bool inherit_holds(const struct sched *, const struct sched_task *);
+bool inherit_blocks(const struct sched *, const struct sched_task *);
 
 /* sched_place.c */
 void place_waiting(struct sched *, int64_t now_ms);
@@ -131,7 +131,7 @@
 
 /* sched_headroom.c */
 /* A step of the queue may run now. */
-void headroom_opened(
+void headroom_add_demand(
     struct sched_queue *, const struct graph_step *, int64_t now_ms);
 
 /* sched_leave.c */
@@ -174,12 +174,12 @@
 int64_t use_unused(const struct sched *, const struct sched_worker *);
 
 /* sched_health.c */
-void health_done(
+void health_task_done(
     struct sched_worker *, const struct sched_run *, int64_t now_ms);
-void health_failed(
+void health_task_failed(
     struct sched_worker *, const struct sched_job *, int64_t now_ms);
-void health_placed(struct sched_worker *, int64_t now_ms);
-void health_watch(struct sched *, struct sched_worker *, int64_t now_ms);
+void health_task_placed(struct sched_worker *, int64_t now_ms);
+void health_check_progress(struct sched *, struct sched_worker *, int64_t now_ms);
 
 void sched_due(struct sched *, int64_t at_ms);
 uint64_t sched_random(struct sched *);
--- a/core/sched_job.c
+++ b/core/sched_job.c
@@ -179,7 +179,7 @@
 	struct sched_task *task;
 
 	if ((task = job_loaded_task(job, number, step, index)) != NULL)
-		task_keep_checkpoint(task, checkpoint);
+		task_set_checkpoint(task, checkpoint);
 }
 
 /* Steps that were complete when the former leader saved the job. */
@@ -387,16 +387,16 @@
 	if (step_tasks(step) == NULL)
 		return;
 	step->open = true;
-	headroom_opened(step->occurrence->job->queue, step->spec, now_ms);
+	headroom_add_demand(step->occurrence->job->queue, step->spec, now_ms);
 	step->image = press_image(s->press, step->spec->image);
 	for (i = 0; i < step->spec->count; i++) {
 		if (step->tasks[i].state == SCHED_BLOCKED)
-			task_wait(s, &step->tasks[i], now_ms, now_ms);
+			task_enqueue(s, &step->tasks[i], now_ms, now_ms);
 	}
 }
 
 void
-task_wait(struct sched *s, struct sched_task *task, int64_t not_before_ms,
+task_enqueue(struct sched *s, struct sched_task *task, int64_t not_before_ms,
     int64_t now_ms)
 {
 	if (task->state == SCHED_WAITING || task->state == SCHED_DONE)
@@ -417,7 +417,7 @@
 
 /* Off the waiting list, for a run or an end. */
 void
-task_leave_waiting(struct sched_task *task, enum sched_task_state state)
+task_dequeue(struct sched_task *task, enum sched_task_state state)
 {
 	if (task->state == SCHED_WAITING) {
 		TAILQ_REMOVE(&task->step->waiting, task, link);
@@ -443,7 +443,7 @@
 
 /* That of any member holds for its gang, which resumes from one point. */
 void
-task_keep_checkpoint(struct sched_task *task, const char *checkpoint)
+task_set_checkpoint(struct sched_task *task, const char *checkpoint)
 {
 	struct sched_step *step;
 	uint32_t i;
@@ -468,11 +468,11 @@
 	job = task_job(task);
 	if (task->state == SCHED_DONE || job->in_ended)
 		return;
-	task_leave_waiting(task, SCHED_DONE);
+	task_dequeue(task, SCHED_DONE);
 	step = task->step;
 	step->ndone++;
-	job_begin(job);
-	job_touch(s, job);
+	job_mark_begun(job);
+	job_mark_dirty(s, job);
 	if (step->ndone == step->spec->count)
 		step_completed(s, step, now_ms);
 }
@@ -491,7 +491,7 @@
 	}
 	occurrence->done = true;
 	job->occurrences_done++;
-	job_touch(s, job);
+	job_mark_dirty(s, job);
 	if (job->occurrences_done == graph_occurrences(job->graph))
 		job_end(s, job, JOB_COMPLETED, now_ms);
 }
@@ -523,14 +523,14 @@
 	if (!count_failure(holder, attempt))
 		return;
 	s->counts.failures++;
-	job_touch(s, job);
+	job_mark_dirty(s, job);
 	if (!task->step->spec->lasts &&
 	    holder->failures >= job->queue->terms.max_attempts)
 		job_end(s, job, JOB_FAILED, now_ms);
 }
 
 void
-job_begin(struct sched_job *job)
+job_mark_begun(struct sched_job *job)
 {
 	job->begun = true;
 	if (job->state == JOB_QUEUED)
@@ -570,7 +570,7 @@
 drop_task(struct sched *s, struct sched_task *task)
 {
 	if (task->state == SCHED_WAITING)
-		task_leave_waiting(task, SCHED_BLOCKED);
+		task_dequeue(task, SCHED_BLOCKED);
 	run_stop_others(s, task, NULL);
 }
 
@@ -585,19 +585,19 @@
 	TAILQ_INSERT_TAIL(&s->ended, job, link);
 	TAILQ_INSERT_TAIL(&s->ending, job, ending_link);
 	each_task(s, job, drop_task);
-	job_touch(s, job);
+	job_mark_dirty(s, job);
 	s->place_wanted = true;
 }
 
 void
-job_give_up(struct sched *s, struct sched_job *job, int64_t now_ms)
+job_fail(struct sched *s, struct sched_job *job, int64_t now_ms)
 {
 	if (!job->in_ended)
 		job_end(s, job, JOB_FAILED, now_ms);
 }
 
 void
-job_touch(struct sched *s, struct sched_job *job)
+job_mark_dirty(struct sched *s, struct sched_job *job)
 {
 	job->change++;
 	if (job->dirty)
@@ -639,7 +639,7 @@
 }
 
 enum sched_job_state
-sched_job_shown(const struct sched_job *job)
+sched_job_visible_state(const struct sched_job *job)
 {
 	if (job->in_ended && job->saved < job->change)
 		return job->begun ? JOB_RUNNING : JOB_QUEUED;
--- a/core/sched_lease.c
+++ b/core/sched_lease.c
@@ -50,14 +50,14 @@
 }
 
 void
-worker_heard(struct sched *s, struct sched_worker *worker, int64_t clock_ms,
+worker_note_answer(struct sched *s, struct sched_worker *worker, int64_t clock_ms,
     int64_t now_ms)
 {
 	if (worker->heard_ms == 0)
 		first_heard(s, worker, clock_ms);
 	worker->misses = 0;
 	if (worker->lapsed)
-		crash_settle(s, worker, LOSS_REFUTED, now_ms);
+		crash_resolve(s, worker, LOSS_REFUTED, now_ms);
 	worker->lapsed = false;
 	/* An answer that others have overtaken tells an earlier time. */
 	if (worker->heard_ms != 0 && clock_ms < worker_clock(worker, now_ms))
@@ -78,7 +78,7 @@
 }
 
 int64_t
-worker_passes(const struct sched_worker *worker, int64_t worker_ms)
+worker_deadline_local_ms(const struct sched_worker *worker, int64_t worker_ms)
 {
 	int64_t left;
 
@@ -90,7 +90,7 @@
 }
 
 int64_t
-worker_unheard_lapses(const struct sched *s)
+lease_former_expiry_ms(const struct sched *s)
 {
 	return s->opt.taken_ms + s->opt.former_ms +
 	    (int64_t)((double)s->opt.lease_ms * SLOW_CLOCK) + LAPSE_MARGIN_MS;
@@ -105,24 +105,24 @@
  * renews while it says so, and it is changed on condition of the term.
  */
 int64_t
-lease_lapses(const struct sched *s, const struct sched_worker *worker)
+lease_expiry_ms(const struct sched *s, const struct sched_worker *worker)
 {
 	if (worker->heard_ms != 0)
-		return worker_passes(worker, worker->granted_ms);
+		return worker_deadline_local_ms(worker, worker->granted_ms);
 	if (worker->expires_ms != 0)
 		return worker->expires_ms;
-	return worker_unheard_lapses(s);
+	return lease_former_expiry_ms(s);
 }
 
 int64_t
-sched_worker_left_ms(
+sched_worker_lease_left_ms(
     const struct sched *s, const struct sched_worker *worker, int64_t now_ms)
 {
 	int64_t left_ms;
 
 	if (worker->dead || worker->lapsed || worker_is_empty(worker))
 		return 0;
-	left_ms = lease_lapses(s, worker) - now_ms;
+	left_ms = lease_expiry_ms(s, worker) - now_ms;
 	return left_ms > 0 ? left_ms : 0;
 }
 
@@ -203,7 +203,7 @@
 }
 
 void
-lease_want_record(
+lease_request_record(
     struct sched *s, struct sched_worker *worker, enum worker_record record)
 {
 	if (worker->record_wanted == record)
@@ -226,7 +226,7 @@
 }
 
 bool
-lease_is_left(const struct sched_worker *worker, int64_t now_ms)
+worker_is_silent(const struct sched_worker *worker, int64_t now_ms)
 {
 	return worker->misses >= EXPIRE_MISSES &&
 	    now_ms - worker->silent_ms >= EXPIRE_MS;
@@ -251,7 +251,7 @@
 		if (!worker->listed)
 			continue;
 		listed++;
-		if (lease_is_left(worker, now_ms))
+		if (worker_is_silent(worker, now_ms))
 			silent++;
 	}
 	s->most_silent = 2 * silent > listed && silent > 1;
@@ -269,16 +269,16 @@
 
 /* What a next leader needs to know of it. */
 void
-lease_record(struct sched *s, struct sched_worker *worker, int64_t now_ms)
+lease_update_record(struct sched *s, struct sched_worker *worker, int64_t now_ms)
 {
 	if (worker->record_wanted == RECORD_NONE)
 		return;
-	if (lease_is_left(worker, now_ms))
+	if (worker_is_silent(worker, now_ms))
 		count_silent(s, now_ms);
-	if (worker->dead || (lease_is_left(worker, now_ms) && !s->most_silent))
-		lease_want_record(s, worker, RECORD_EXPIRING);
+	if (worker->dead || (worker_is_silent(worker, now_ms) && !s->most_silent))
+		lease_request_record(s, worker, RECORD_EXPIRING);
 	else if (worker->heard_ms != 0 && worker->misses == 0)
-		lease_want_record(s, worker, record_of(worker, now_ms));
+		lease_request_record(s, worker, record_of(worker, now_ms));
 	if (worker->record_wanted != RECORD_IN_USE && !worker->told_empty &&
 	    worker_is_empty(worker)) {
 		worker->told_empty = true;
--- a/core/sched_loss.c
+++ b/core/sched_loss.c
@@ -174,12 +174,12 @@
 	blame = blame_of(s, task);
 	if (blame == BLAME_GUILTY && is_proved(task)) {
 		s->counts.given_up++;
-		job_give_up(s, task_job(task), now_ms);
+		job_fail(s, task_job(task), now_ms);
 		return;
 	}
 	/* A long run that speaks for nothing isn't worth a write. */
 	if (blame != BLAME_NONE || is_soon(loss)) {
-		job_touch(s, task_job(task));
+		job_mark_dirty(s, task_job(task));
 		task->losses_change = task_job(task)->change;
 	}
 }
--- a/core/sched_place.c
+++ b/core/sched_place.c
@@ -342,7 +342,7 @@
 	if (run->deadline_worker_ms > worker->granted_ms)
 		worker->granted_ms = run->deadline_worker_ms;
 	s->counts.starts++;
-	health_placed(worker, now_ms);
+	health_task_placed(worker, now_ms);
 	if (loss_suspected(s, run->task))
 		worker->alone_until_ms = now_ms + loss_alone_ms(run->task);
 	if (run->task->step->spec->filler)
@@ -393,7 +393,7 @@
 		if (step->tasks[i].state != SCHED_WAITING ||
 		    step->tasks[i].not_before_ms > p->now_ms ||
 		    loss_unsaved(&step->tasks[i], p->now_ms) ||
-		    inherit_holds(p->s, &step->tasks[i]))
+		    inherit_blocks(p->s, &step->tasks[i]))
 			return;
 		n = run_next_attempt(p->s, &step->tasks[i]);
 		if (n > attempt)
@@ -483,7 +483,7 @@
 			sched_due(p->s, task->not_before_ms);
 			continue;
 		}
-		if (loss_unsaved(task, p->now_ms) || inherit_holds(p->s, task))
+		if (loss_unsaved(task, p->now_ms) || inherit_blocks(p->s, task))
 			continue;
 		if (p->started >= p->starts_max)
 			return;
--- a/core/sched_run.c
+++ b/core/sched_run.c
@@ -66,7 +66,7 @@
 	run->pace = 100;
 	if (attempt > task->attempt)
 		task->attempt = attempt;
-	task_leave_waiting(task, SCHED_ACTIVE);
+	task_dequeue(task, SCHED_ACTIVE);
 	task->step->nactive++;
 	task_job(task)->nactive++;
 	size = run_size(task);
@@ -136,7 +136,7 @@
 	if (task_job(task)->in_ended || task->state == SCHED_DONE ||
 	    !TAILQ_EMPTY(&task->runs))
 		return;
-	task_wait(s, task, not_before_ms, now_ms);
+	task_enqueue(s, task, not_before_ms, now_ms);
 }
 
 void
--- a/core/sched_worker.c
+++ b/core/sched_worker.c
@@ -145,7 +145,7 @@
     int64_t now_ms)
 {
 	room_set_capacity(&worker->room, capacity);
-	crash_listed(s, worker, now_ms);
+	crash_worker_listed(s, worker, now_ms);
 	if (!worker->listed) {
 		worker->listed = true;
 		worker->look_at_ms = now_ms;
@@ -156,7 +156,7 @@
 		worker->leaves_ms = leaves_ms;
 	worker->draining = draining;
 	if (worker->record_wanted == RECORD_NONE && !draining)
-		lease_want_record(s, worker, RECORD_IN_USE);
+		lease_request_record(s, worker, RECORD_IN_USE);
 	worker_touch(s, worker);
 }
 
@@ -202,7 +202,7 @@
 	struct sched_run *run;
 	size_t n;
 
-	crash_of_worker(s, worker, cause, now_ms);
+	crash_worker_lost(s, worker, cause, now_ms);
 	n = 0;
 	while ((run = TAILQ_FIRST(&worker->runs)) != NULL) {
 		task = run->task;
@@ -222,7 +222,7 @@
 	worker->dead = true;
 	worker_drop_strays(worker);
 	drop_runs(s, worker, LOSS_OTHER_LIFE, now_ms);
-	crash_settle(s, worker, LOSS_CONFIRMED, now_ms);
+	crash_resolve(s, worker, LOSS_CONFIRMED, now_ms);
 }
 
 static bool
@@ -335,7 +335,7 @@
 
 	if (worker->lapsed || (worker->misses == 0 && worker->fenced))
 		return;
-	lapses_ms = lease_lapses(s, worker);
+	lapses_ms = lease_expiry_ms(s, worker);
 	if (now_ms < lapses_ms) {
 		sched_due(s, lapses_ms);
 		return;
@@ -354,7 +354,7 @@
 	    !STAILQ_EMPTY(&worker->ends))
 		return false;
 	return worker->dead || worker->lapsed ||
-	    (lease_is_left(worker, now_ms) && worker_is_empty(worker)) ||
+	    (worker_is_silent(worker, now_ms) && worker_is_empty(worker)) ||
 	    (worker->heard_ms != 0 && now_ms - worker->heard_ms > FORGET_MS);
 }
 
@@ -364,15 +364,15 @@
 {
 	worker_acknowledge(worker);
 	check_lapse(s, worker, now_ms);
-	lease_record(s, worker, now_ms);
+	lease_update_record(s, worker, now_ms);
 	if (may_be_forgotten(worker, now_ms)) {
-		crash_of_empty(s, worker);
+		crash_idle_worker_lost(s, worker);
 		s->opt.actions->forget_worker(s, worker, s->opt.ctx);
 		worker_free(s, worker);
 		return false;
 	}
 	run_step(s, worker, now_ms);
-	health_watch(s, worker, now_ms);
+	health_check_progress(s, worker, now_ms);
 	look_if_due(s, worker, now_ms);
 	return true;
 }
--- a/core/scheduler.h
+++ b/core/scheduler.h
@@ -31,7 +31,7 @@
 
 struct sched;
 struct sched_job;
-struct sched_lost_life;
+struct sched_lost_incarnation;
 struct sched_occurrence;
 struct sched_step;
 struct sched_task;
@@ -497,7 +497,7 @@
 	double serving_use; /* learnt: share of its claim a serving task uses */
 	double batch_use; /* the same of all others */
 	struct blame_rate crash_rate; /* of workers */
-	LIST_HEAD(, sched_lost_life) lost_lives; /* of which it isn't sure */
+	LIST_HEAD(, sched_lost_incarnation) lost_lives; /* of which it isn't sure */
 	int64_t use_fell_ms; /* when serving_use last fell by itself */
 	struct sched_counts counts;
 };
@@ -533,7 +533,7 @@
 void sched_load_end(struct sched *, int64_t now_ms);
 void sched_job_cancel(struct sched *, struct sched_job *, int64_t now_ms);
 /* The state that callers may be shown: an end only once it is saved. */
-enum sched_job_state sched_job_shown(const struct sched_job *);
+enum sched_job_state sched_job_visible_state(const struct sched_job *);
 const char *sched_job_state_name(enum sched_job_state);
 
 void sched_task_name(const struct sched_task *, struct task_name *);
@@ -578,7 +578,7 @@
 bool sched_worker_each_task(const struct sched_worker *,
     void (*)(const struct task_name *, void *ctx), void *ctx);
 /* So long until all that runs there has surely lapsed; 0: it has. */
-int64_t sched_worker_left_ms(
+int64_t sched_worker_lease_left_ms(
     const struct sched *, const struct sched_worker *, int64_t now_ms);
 /* Nothing of a former term can run there unknown to us. */
 bool sched_worker_settled(const struct sched_worker *);
@@ -593,13 +593,13 @@
 void sched_stop_answered(struct sched *, struct sched_worker *,
     const struct task_name *, uint32_t attempt, enum worker_answer,
     int64_t clock_ms, int64_t now_ms);
-void sched_look_answered(struct sched *, struct sched_worker *,
+void sched_poll_answered(struct sched *, struct sched_worker *,
     enum worker_answer, const struct look_result *, int64_t now_ms);
 /*
  * Ends from an answer that came too late to be one.  What it says of running
  * tasks may be outdated; an end stays true.
  */
-void sched_ends_told(struct sched *, struct sched_worker *,
+void sched_late_ends_reported(struct sched *, struct sched_worker *,
     const struct look_result *, int64_t now_ms);
 void sched_pace_answered(struct sched *, struct sched_worker *,
     const struct task_name *, uint32_t attempt, enum worker_answer,
--- a/entry/lead_calls.c
+++ b/entry/lead_calls.c
@@ -217,7 +217,7 @@
 	now_ms = clock_now_ms();
 	if ((worker = call_worker(call)) != NULL) {
 		misses = worker->misses;
-		sched_look_answered(call->lead->sched, worker, result->answer,
+		sched_poll_answered(call->lead->sched, worker, result->answer,
 		    result->look, now_ms);
 		log_silence(worker, result->answer, misses, now_ms);
 	}
@@ -232,7 +232,7 @@
 
 	l = ctx;
 	if ((worker = sched_worker_find(l->sched, id)) != NULL)
-		sched_ends_told(l->sched, worker, look, clock_now_ms());
+		sched_late_ends_reported(l->sched, worker, look, clock_now_ms());
 }
 
 static void
--- a/entry/lead_record.c
+++ b/entry/lead_record.c
@@ -224,7 +224,7 @@
 	json_array_append_new(row, tasks_of(worker));
 	if (worker->record_wanted == RECORD_CLOSED)
 		return row;
-	left_ms = sched_worker_left_ms(l->sched, worker, now_ms);
+	left_ms = sched_worker_lease_left_ms(l->sched, worker, now_ms);
 	if (left_ms > 0)
 		refresh_within(
 		    l, worker->misses > 0 ? REFRESH_MS : REFRESH_LEAVING_MS);
--- a/entry/lead_request.c
+++ b/entry/lead_request.c
@@ -78,7 +78,7 @@
 
 	l = lookup->lead;
 	if (lookup->kind == ASK_STATE) {
-		answer(lookup, NODE_STATE, sched_job_shown(job));
+		answer(lookup, NODE_STATE, sched_job_visible_state(job));
 		return;
 	}
 	if (lookup->kind == ASK_JOB) {
--- a/tests/sched_fixture.h
+++ b/tests/sched_fixture.h
@@ -117,7 +117,7 @@
 		struct look_result result = { now, running.data(),
 			running.size(), finished.data(), finished.size() };
 
-		sched_look_answered(s, w, ANSWER_OK, &result, now);
+		sched_poll_answered(s, w, ANSWER_OK, &result, now);
 	}
 
 	// Act, and let every worker that is asked say that nothing runs.
@@ -144,7 +144,7 @@
 				if (id == "other")
 					Answer(asked);
 				else
-					sched_look_answered(s, asked,
+					sched_poll_answered(s, asked,
 					    ANSWER_LOST, nullptr, now);
 			}
 			looked.clear();
@@ -480,7 +480,7 @@
 		if (w == nullptr)
 			return;
 		if (m.gone || !m.reachable) {
-			sched_look_answered(s, w,
+			sched_poll_answered(s, w,
 			    m.gone ? ANSWER_OTHER_LIFE : ANSWER_LOST, nullptr,
 			    now);
 			return;
--- a/tests/sched_world.cc
+++ b/tests/sched_world.cc
@@ -489,7 +489,7 @@
 		struct sched_worker *worker =
 		    sched_worker_find(leader->sched, id.c_str());
 		if (worker != nullptr)
-			sched_look_answered(leader->sched, worker, ANSWER_LOST,
+			sched_poll_answered(leader->sched, worker, ANSWER_LOST,
 			    nullptr, now_ms);
 	});
 	At(now_ms + kWay, [=, this] {
@@ -537,7 +537,7 @@
 			struct look_result result = { clock, runs->data(),
 				runs->size(), ends->data(), ends->size() };
 			if (known != nullptr)
-				sched_look_answered(leader->sched, known,
+				sched_poll_answered(leader->sched, known,
 				    fenced ? ANSWER_FENCED : ANSWER_OK, &result,
 				    now_ms);
 		});
@@ -602,7 +602,7 @@
 World::RowOf(Leader *leader, const struct sched_worker *worker) const
 {
 	struct Recorded row = { worker->record_wanted,
-		sched_worker_left_ms(leader->sched, worker, now_ms),
+		sched_worker_lease_left_ms(leader->sched, worker, now_ms),
 		leader->term, false, {} };
 
 	row.tasks_known = sched_worker_each_task(
--- a/tests/test_sched.cc
+++ b/tests/test_sched.cc
@@ -14,9 +14,9 @@
 	Fence();
 	AllStarted();
 	ASSERT_EQ(started.size(), 2u);
-	sched_look_answered(s, w, ANSWER_LOST, nullptr, now);
+	sched_poll_answered(s, w, ANSWER_LOST, nullptr, now);
 	done = End(1, started[0], END_DONE);
-	sched_ends_told(s, w, &late, now);
+	sched_late_ends_reported(s, w, &late, now);
 	AddWorker("other", 4000);
 	OnlyOtherAnswers(9000);
 	ASSERT_EQ(started.size(), 3u);
@@ -230,7 +230,7 @@
 			if (id == "other")
 				Answer(other);
 			else
-				sched_look_answered(
+				sched_poll_answered(
 				    s, half, ANSWER_LOST, nullptr, now);
 		}
 		looked.clear();
@@ -252,7 +252,7 @@
 	sched_load_end(s, now);
 	OnlyOtherAnswers(950);
 	EXPECT_TRUE(started.empty());
-	EXPECT_GT(sched_worker_left_ms(s, silent, now), 0);
+	EXPECT_GT(sched_worker_lease_left_ms(s, silent, now), 0);
 	OnlyOtherAnswers(200);
 	EXPECT_EQ(started.size(), 1u);
 	EXPECT_LT(now, begin + options.lease_ms);
@@ -267,7 +267,7 @@
 
 	Fence();
 	for (int i = 0; i < 3; i++) {
-		sched_look_answered(s, w, ANSWER_LOST, nullptr, now);
+		sched_poll_answered(s, w, ANSWER_LOST, nullptr, now);
 		now += 400;
 		sched_act(s, now);
 	}
@@ -349,7 +349,7 @@
 	    },
 	    &n));
 	EXPECT_EQ(n, 1u);
-	EXPECT_GT(sched_worker_left_ms(s, w, now), 0);
+	EXPECT_GT(sched_worker_lease_left_ms(s, w, now), 0);
 }
 
 // The first answer of a worker whose lease expires comes late, and the next
@@ -373,12 +373,12 @@
 	first.finished = &end;
 	first.nfinished = 1;
 	now += 800;
-	sched_look_answered(s, w, ANSWER_OK, &first, now);
+	sched_poll_answered(s, w, ANSWER_OK, &first, now);
 	now += 100;
 	sched_act(s, now);
 	first.clock_ms = now;
-	sched_look_answered(s, w, ANSWER_OK, &first, now);
-	EXPECT_GE(now + sched_worker_left_ms(s, w, now), lapses);
+	sched_poll_answered(s, w, ANSWER_OK, &first, now);
+	EXPECT_GE(now + sched_worker_lease_left_ms(s, w, now), lapses);
 }
 
 // A worker drains.  What may run there is written down before it leaves, and
@@ -525,7 +525,7 @@
 		EXPECT_LE(renewed, clock + options.lease_ms);
 		now += 1000;
 		result.clock_ms = now * 98 / 100;
-		sched_look_answered(s, w, ANSWER_OK, &result, now);
+		sched_poll_answered(s, w, ANSWER_OK, &result, now);
 	}
 	EXPECT_GT(renewed, now * 98 / 100 + options.lease_ms - 1500);
 }
@@ -579,7 +579,7 @@
 	struct sched_worker *w = AddWorker("w", 4000);
 
 	sched_act(s, now);
-	sched_look_answered(s, w, ANSWER_FENCED, nullptr, now);
+	sched_poll_answered(s, w, ANSWER_FENCED, nullptr, now);
 	EXPECT_TRUE(deposed);
 	Add(Graph("a", 1, 1000));
 	sched_act(s, now);
@@ -687,12 +687,12 @@
 	AllStarted();
 	Answer(w, {}, { End(1, started[0], END_DONE) });
 	EXPECT_EQ(job->state, JOB_COMPLETED);
-	EXPECT_EQ(sched_job_shown(job), JOB_RUNNING);
+	EXPECT_EQ(sched_job_visible_state(job), JOB_RUNNING);
 	sched_act(s, now += 10);
 	EXPECT_EQ(w->acknowledged, 0u);
 	sched_saved(s, job, job->change, now);
 	sched_act(s, now += 10);
-	EXPECT_EQ(sched_job_shown(job), JOB_COMPLETED);
+	EXPECT_EQ(sched_job_visible_state(job), JOB_COMPLETED);
 	EXPECT_EQ(w->acknowledged, 1u);
 }
 
--- a/tests/test_sched_share.cc
+++ b/tests/test_sched_share.cc
@@ -174,7 +174,7 @@
 		}
 		struct look_result result = { now, rows.data(), rows.size(),
 			ends.data(), ends.size() };
-		sched_look_answered(s, w, ANSWER_OK, &result, now);
+		sched_poll_answered(s, w, ANSWER_OK, &result, now);
 	}
 	void
 	Run(int64_t for_ms)
