--- a/bench/lead_cost.c
+++ b/bench/lead_cost.c
@@ -157,9 +157,9 @@
 answer_look(
     struct fleet *f, struct sched_worker *worker, const struct started *end)
 {
-	struct look_running rows[ROWS_MAX];
-	struct look_finished finished;
-	struct look_result look;
+	struct poll_running rows[ROWS_MAX];
+	struct poll_finished finished;
+	struct poll_result look;
 	struct sched_run *run;
 
 	memset(&look, 0, sizeof(look));
--- a/core/blame.c
+++ b/core/blame.c
@@ -23,7 +23,7 @@
 #define GUILTY_MOST (sizeof(guilty_chance) / sizeof(guilty_chance[0]) - 1)
 
 void
-blame_watch(struct blame_rate *rate, uint32_t workers, int64_t now_ms)
+blame_update_rate(struct blame_rate *rate, uint32_t workers, int64_t now_ms)
 {
 	double kept, span_ms;
 
@@ -38,13 +38,13 @@
 }
 
 void
-blame_crashed(struct blame_rate *rate)
+blame_add_crash(struct blame_rate *rate)
 {
 	rate->crashes++;
 }
 
 void
-blame_withdraw(struct blame_rate *rate)
+blame_remove_crash(struct blame_rate *rate)
 {
 	rate->crashes = fmax(rate->crashes - 1, 0);
 }
@@ -63,7 +63,7 @@
 }
 
 enum blame
-blame_judge(const struct blame_rate *rate, uint32_t crashes, int64_t exposed_ms)
+blame_assess(const struct blame_rate *rate, uint32_t crashes, int64_t exposed_ms)
 {
 	double chance, others;
 	size_t most;
@@ -78,6 +78,6 @@
 	    others / (rate->worker_ms + PRIOR_WORKER_MS) * (double)exposed_ms);
 	most = crashes < GUILTY_MOST ? crashes : GUILTY_MOST;
 	if (chance < guilty_chance[most])
-		return BLAME_GUILTY;
+		return BLAME_CERTAIN;
 	return chance < SUSPECT_CHANCE ? BLAME_SUSPECT : BLAME_NONE;
 }
--- a/core/blame.h
+++ b/core/blame.h
@@ -24,16 +24,16 @@
 enum blame {
 	BLAME_NONE, /* by chance, as far as one can tell */
 	BLAME_SUSPECT, /* hardly by chance */
-	BLAME_GUILTY /* surely not by chance */
+	BLAME_CERTAIN /* surely not by chance */
 };
 
 /* So many workers are up, since the last call. */
-void blame_watch(struct blame_rate *, uint32_t workers, int64_t now_ms);
-void blame_crashed(struct blame_rate *);
+void blame_update_rate(struct blame_rate *, uint32_t workers, int64_t now_ms);
+void blame_add_crash(struct blame_rate *);
 /* One that was taken for crashed is up after all. */
-void blame_withdraw(struct blame_rate *);
+void blame_remove_crash(struct blame_rate *);
 /* Of a task that saw so many crashes, having run for so long in all. */
-enum blame blame_judge(
+enum blame blame_assess(
     const struct blame_rate *, uint32_t crashes, int64_t exposed_ms);
 
 #endif /* BLAME_H */
--- a/core/graph.c
+++ b/core/graph.c
@@ -123,7 +123,7 @@
 }
 
 int64_t
-graph_chain_ms(const struct graph *g)
+graph_critical_path_ms(const struct graph *g)
 {
 	int64_t ends[GRAPH_STEPS_MAX], begin, longest;
 	const struct graph_step *step;
--- a/core/graph.h
+++ b/core/graph.h
@@ -95,7 +95,7 @@
 /* When an occurrence is due, since 1970; 0: at once. */
 int64_t graph_due_ms(const struct graph *, uint32_t occurrence);
 /* The longest chain of declared run times, in milliseconds. */
-int64_t graph_chain_ms(const struct graph *);
+int64_t graph_critical_path_ms(const struct graph *);
 /* Processor-milliseconds of one occurrence as declared. */
 int64_t graph_work(const struct graph *);
 /* Whether the job ends only by being cancelled. */
--- a/core/press.c
+++ b/core/press.c
@@ -57,28 +57,28 @@
 	double variance;
 };
 
-struct press {
-	char names[PRESS_IMAGES_MAX][GRAPH_NAME_MAX];
+struct interference {
+	char names[INTERFERENCE_IMAGES_MAX][GRAPH_NAME_MAX];
 	double
-	    shortest_ms[PRESS_IMAGES_MAX]; /* tail without load; 0: unknown */
+	    shortest_ms[INTERFERENCE_IMAGES_MAX]; /* tail without load; 0: unknown */
 	int n;
-	struct pair pairs[PRESS_IMAGES_MAX][PRESS_IMAGES_MAX];
+	struct pair pairs[INTERFERENCE_IMAGES_MAX][INTERFERENCE_IMAGES_MAX];
 };
 
-struct press *
-press_new(void)
+struct interference *
+interference_new(void)
 {
-	return calloc(1, sizeof(struct press));
+	return calloc(1, sizeof(struct interference));
 }
 
 void
-press_free(struct press *p)
+interference_free(struct interference *p)
 {
 	free(p);
 }
 
 int
-press_image(struct press *p, const char *name)
+interference_image(struct interference *p, const char *name)
 {
 	int i;
 
@@ -86,15 +86,15 @@
 		if (strcmp(p->names[i], name) == 0)
 			return i;
 	}
-	if (p->n == PRESS_IMAGES_MAX)
-		return PRESS_NONE;
+	if (p->n == INTERFERENCE_IMAGES_MAX)
+		return IMAGE_NONE;
 	strlcpy(p->names[p->n], name, sizeof(p->names[0]));
 	return p->n++;
 }
 
 /* The pair to be corrected. */
 static struct pair *
-pair_of(struct press *p, int serving, int filler)
+pair_of(struct interference *p, int serving, int filler)
 {
 	struct pair *pair;
 
@@ -108,11 +108,11 @@
 }
 
 double
-press_effect(const struct press *p, int serving, int filler)
+interference_effect(const struct interference *p, int serving, int filler)
 {
 	const struct pair *pair;
 
-	if (serving == PRESS_NONE || filler == PRESS_NONE)
+	if (serving == IMAGE_NONE || filler == IMAGE_NONE)
 		return EFFECT_FIRST;
 	pair = &p->pairs[serving][filler];
 	return pair->known ? pair->mean : EFFECT_FIRST;
@@ -127,9 +127,9 @@
 }
 
 static double
-shortest(const struct press *p, int serving, double target_ms)
+shortest(const struct interference *p, int serving, double target_ms)
 {
-	if (serving == PRESS_NONE || p->shortest_ms[serving] <= 0)
+	if (serving == IMAGE_NONE || p->shortest_ms[serving] <= 0)
 		return SHORTEST_OF_TARGET * target_ms;
 	return within(
 	    p->shortest_ms[serving], 0, SHORTEST_MAX_OF_TARGET * target_ms);
@@ -137,7 +137,7 @@
 
 /* Follow the length that a small share of the tails is below. */
 static void
-see_shortest(struct press *p, int serving, double tail_ms, double target_ms)
+see_shortest(struct interference *p, int serving, double tail_ms, double target_ms)
 {
 	double *seen_ms, base_ms;
 
@@ -152,20 +152,20 @@
 }
 
 double
-press_limit(const struct press *p, int serving, double target_ms)
+interference_load_limit(const struct interference *p, int serving, double target_ms)
 {
 	return 1 - shortest(p, serving, target_ms) / target_ms;
 }
 
 double
-press_load_of(const struct press_load *load)
+load_estimate_value(const struct load_estimate *load)
 {
 	return load->at_ms == 0 ? LOAD_FIRST : load->load;
 }
 
 /* What may have changed since the last tail. */
 static void
-drift(struct press_load *load, int64_t now_ms)
+drift(struct load_estimate *load, int64_t now_ms)
 {
 	double seconds;
 
@@ -199,18 +199,18 @@
 }
 
 static void
-correct_effects(struct press *p, int serving, double load,
-    const struct press_dose *doses, size_t n, double error, double sum)
+correct_effects(struct interference *p, int serving, double load,
+    const struct filler_usage *usages, size_t n, double error, double sum)
 {
 	struct pair *pair;
 	double slope, gain;
 	size_t i;
 
 	for (i = 0; i < n; i++) {
-		if (doses[i].filler == PRESS_NONE)
+		if (usages[i].filler == IMAGE_NONE)
 			continue;
-		pair = pair_of(p, serving, doses[i].filler);
-		slope = load * doses[i].share;
+		pair = pair_of(p, serving, usages[i].filler);
+		slope = load * usages[i].share;
 		gain = pair->variance * slope / sum;
 		pair->mean = within(pair->mean + gain * error, 0, EFFECT_MAX);
 		pair->variance = shrink(pair->variance, gain * slope) +
@@ -219,14 +219,14 @@
 }
 
 void
-press_learn(struct press *p, int serving, struct press_load *load,
-    const struct press_dose *doses, size_t n, double tail_ms, double target_ms,
+interference_update(struct interference *p, int serving, struct load_estimate *load,
+    const struct filler_usage *usages, size_t n, double tail_ms, double target_ms,
     int64_t now_ms)
 {
 	double base_ms, error, expected, factor, gain, slope, sum, before, seen;
 	size_t i;
 
-	if (serving == PRESS_NONE || tail_ms <= 0)
+	if (serving == IMAGE_NONE || tail_ms <= 0)
 		return;
 	see_shortest(p, serving, tail_ms, target_ms);
 	base_ms = shortest(p, serving, target_ms);
@@ -236,12 +236,12 @@
 	factor = 1;
 	sum = tail_variance(seen);
 	for (i = 0; i < n; i++) {
-		slope = before * doses[i].share;
+		slope = before * usages[i].share;
 		factor +=
-		    press_effect(p, serving, doses[i].filler) * doses[i].share;
-		if (doses[i].filler != PRESS_NONE)
+		    interference_effect(p, serving, usages[i].filler) * usages[i].share;
+		if (usages[i].filler != IMAGE_NONE)
 			sum += slope * slope *
-			    pair_of(p, serving, doses[i].filler)->variance;
+			    pair_of(p, serving, usages[i].filler)->variance;
 	}
 	sum += load->variance * factor * factor;
 	expected = within(before * factor, 0, LOAD_MAX);
@@ -249,11 +249,11 @@
 	gain = load->variance * factor / sum;
 	load->load = within(before + gain * error, LOAD_LOW, LOAD_HIGH);
 	load->variance = shrink(load->variance, gain * factor);
-	correct_effects(p, serving, before, doses, n, error, sum);
+	correct_effects(p, serving, before, usages, n, error, sum);
 }
 
 void
-press_each(const struct press *p, press_pair *tell, void *ctx)
+interference_foreach(const struct interference *p, interference_pair_cb *tell, void *ctx)
 {
 	const struct pair *pair;
 	int i, j;
@@ -268,15 +268,15 @@
 }
 
 void
-press_set(
-    struct press *p, const char *serving, const char *filler, double effect)
+interference_set_effect(
+    struct interference *p, const char *serving, const char *filler, double effect)
 {
 	struct pair *pair;
 	int i, j;
 
-	i = press_image(p, serving);
-	j = press_image(p, filler);
-	if (i == PRESS_NONE || j == PRESS_NONE || !isfinite(effect))
+	i = interference_image(p, serving);
+	j = interference_image(p, filler);
+	if (i == IMAGE_NONE || j == IMAGE_NONE || !isfinite(effect))
 		return;
 	pair = pair_of(p, i, j);
 	pair->mean = within(effect, 0, EFFECT_MAX);
--- a/core/press.h
+++ b/core/press.h
@@ -18,10 +18,10 @@
  * proportion to what is not yet known of them.
  */
 
-#define PRESS_IMAGES_MAX 128
-#define PRESS_NONE (-1)
+#define INTERFERENCE_IMAGES_MAX 128
+#define IMAGE_NONE (-1)
 
-struct press;
+struct interference;
 
 /*
  * The load of a step's serving tasks without fillers; zeroed: nothing is known.
@@ -29,41 +29,41 @@
  * tails of all of them, wherever they run, correct one estimate.  Of six tasks
  * listed each quarter of a second that is 24 tails a second for one load.
  */
-struct press_load {
+struct load_estimate {
 	double load; /* 0 to 1 */
 	double variance;
 	int64_t at_ms; /* when it was last corrected; 0: never */
 };
 
 /* What fillers of an image use beside it. */
-struct press_dose {
+struct filler_usage {
 	int filler;
 	double share; /* of the worker's processors */
 };
 
 /* NULL: no memory. */
-struct press *press_new(void);
-void press_free(struct press *);
+struct interference *interference_new(void);
+void interference_free(struct interference *);
 
-/* The number of an image, made when first seen; PRESS_NONE: none is free. */
-int press_image(struct press *, const char *name);
+/* The number of an image, made when first seen; IMAGE_NONE: none is free. */
+int interference_image(struct interference *, const char *name);
 
 /* The tail of one of the step's tasks, and what was beside it meanwhile. */
-void press_learn(struct press *, int serving, struct press_load *,
-    const struct press_dose *, size_t n, double tail_ms, double target_ms,
+void interference_update(struct interference *, int serving, struct load_estimate *,
+    const struct filler_usage *, size_t n, double tail_ms, double target_ms,
     int64_t now_ms);
 /* The load to reckon with, also before anything was learnt. */
-double press_load_of(const struct press_load *);
+double load_estimate_value(const struct load_estimate *);
 /* Rise of the load by a filler that uses all of the worker's processors. */
-double press_effect(const struct press *, int serving, int filler);
+double interference_effect(const struct interference *, int serving, int filler);
 /* The load, fillers' part included, at which the tail reaches the target. */
-double press_limit(const struct press *, int serving, double target_ms);
+double interference_load_limit(const struct interference *, int serving, double target_ms);
 
 /* Effects that are known, to hand them to a next leader. */
-typedef void press_pair(
+typedef void interference_pair_cb(
     const char *serving, const char *filler, double effect, void *ctx);
-void press_each(const struct press *, press_pair *, void *ctx);
-void press_set(
-    struct press *, const char *serving, const char *filler, double effect);
+void interference_foreach(const struct interference *, interference_pair_cb *, void *ctx);
+void interference_set_effect(
+    struct interference *, const char *serving, const char *filler, double effect);
 
 #endif /* PRESS_H */
--- a/core/sched.c
+++ b/core/sched.c
@@ -26,18 +26,18 @@
 	TAILQ_INIT(&s->dirty);
 	TAILQ_INIT(&s->ending);
 	TAILQ_INIT(&s->queues);
-	LIST_INIT(&s->lost_lives);
+	LIST_INIT(&s->lost_incarnations);
 	s->next_serial = 1;
 	s->starts_allowed = UINT32_MAX;
 	use_init(s);
-	if ((s->press = press_new()) == NULL) {
+	if ((s->interference = interference_new()) == NULL) {
 		free(s);
 		return NULL;
 	}
 	/* All of them, until the first look at each. */
 	s->unsettled = UINT64_MAX;
-	s->any_left = true;
-	s->former_left = true;
+	s->any_task_inherited = true;
+	s->former_leader_active = true;
 	return s;
 }
 
@@ -59,7 +59,7 @@
 		free(queue);
 	}
 	crash_free(s);
-	press_free(s->press);
+	interference_free(s->interference);
 	free(s->inherited_hashes);
 	free(s);
 }
@@ -125,9 +125,9 @@
 		return;
 	s->next_ms = now_ms + STEP_MAX_MS;
 	open_repeats(s, now_ms);
-	leave_move(s, now_ms);
+	drain_move_tasks(s, now_ms);
 	crash_update_rate(s, now_ms);
-	worker_steps(s, now_ms);
+	worker_run_due(s, now_ms);
 	if (s->deposed)
 		return;
 	inherit_update(s, now_ms);
--- a/core/sched_answer.c
+++ b/core/sched_answer.c
@@ -31,8 +31,8 @@
     enum worker_answer answer, int64_t clock_ms, int64_t now_ms)
 {
 	/* The clock that it tells isn't this life's. */
-	if (answer == ANSWER_OTHER_LIFE) {
-		worker_died(s, worker, now_ms);
+	if (answer == ANSWER_OTHER_INCARNATION) {
+		worker_incarnation_ended(s, worker, now_ms);
 		return false;
 	}
 	if (answer != ANSWER_LOST && answer != ANSWER_NOT_SENT && clock_ms > 0)
@@ -73,9 +73,9 @@
 static void
 start_lost(struct sched *s, struct sched_run *run, int64_t now_ms)
 {
-	run->state = RUN_UNSURE;
+	run->state = RUN_UNCONFIRMED;
 	run->answered_ms = now_ms;
-	worker_missed(s, run->worker, now_ms);
+	worker_call_failed(s, run->worker, now_ms);
 	/*
 	 * The order may be carried out late, after newer ones.  A stop that is
 	 * answered makes the worker refuse that attempt from then on.
@@ -109,7 +109,7 @@
 		start_lost(s, run, now_ms);
 		break;
 	case ANSWER_NOT_SENT:
-		worker_missed(s, worker, now_ms);
+		worker_call_failed(s, worker, now_ms);
 		start_failed(s, run, 0, now_ms);
 		break;
 	case ANSWER_UNHEALTHY:
@@ -136,14 +136,14 @@
 		return;
 	if ((run = run_find(worker, name, attempt)) == NULL)
 		return;
-	run->stop_out = false;
+	run->stop_pending = false;
 	if (answer == ANSWER_OK) {
 		/* Room comes back with its end, or a look without it. */
 		run->state = RUN_STOPPING;
 		run->answered_ms = now_ms;
-		worker->look_at_ms = now_ms;
+		worker->next_poll_ms = now_ms;
 	}
-	worker_touch(s, worker);
+	worker_schedule(s, worker);
 }
 
 void
@@ -159,7 +159,7 @@
 	}
 	if ((run = run_find(worker, name, attempt)) == NULL)
 		return;
-	run->pace_out = false;
+	run->pace_pending = false;
 	if (answer != ANSWER_OK)
 		run->pace = PACE_UNKNOWN;
 	run->paced_ms = now_ms;
@@ -168,7 +168,7 @@
 /* The end of a run, told for the first time. */
 static void
 apply_end(struct sched *s, struct sched_worker *worker,
-    const struct look_finished *end, struct sched_task *task, int64_t now_ms)
+    const struct poll_finished *end, struct sched_task *task, int64_t now_ms)
 {
 	struct sched_run *run;
 	bool lasts;
@@ -236,7 +236,7 @@
  */
 static bool
 note_end(struct sched *s, struct sched_worker *worker,
-    const struct look_finished *finished, bool keep, int64_t now_ms)
+    const struct poll_finished *finished, bool keep, int64_t now_ms)
 {
 	struct sched_task *task;
 	struct sched_job *job;
@@ -278,7 +278,7 @@
  * late; the task would run twice when its job becomes known.
  */
 static void
-keep_stray(struct sched_worker *worker, const struct look_running *row)
+keep_stray(struct sched_worker *worker, const struct poll_running *row)
 {
 	struct sched_stray *stray;
 
@@ -310,7 +310,7 @@
 /* A run that isn't ours: a former leader's, or one to be stopped. */
 static struct sched_run *
 take_over_run(struct sched *s, struct sched_worker *worker,
-    const struct look_running *row, int64_t now_ms)
+    const struct poll_running *row, int64_t now_ms)
 {
 	struct sched_task *task;
 
@@ -333,7 +333,7 @@
 
 static void
 note_running(struct sched *s, struct sched_worker *worker,
-    const struct look_running *row, int64_t now_ms)
+    const struct poll_running *row, int64_t now_ms)
 {
 	struct sched_run *run;
 
@@ -341,7 +341,7 @@
 	if (run == NULL &&
 	    (run = take_over_run(s, worker, row, now_ms)) == NULL)
 		return;
-	if (run->state == RUN_STARTING || run->state == RUN_UNSURE) {
+	if (run->state == RUN_STARTING || run->state == RUN_UNCONFIRMED) {
 		run->state = RUN_RUNNING;
 		if (run->begun_ms == 0)
 			run->begun_ms = now_ms;
@@ -353,8 +353,8 @@
 		run->percent = row->percent;
 		run->percent_ms = now_ms;
 	}
-	run->figure = row->figure;
-	run->figure_ms = now_ms;
+	run->measurement = row->measurement;
+	run->measurement_ms = now_ms;
 }
 
 /*
@@ -370,7 +370,7 @@
 	for (run = TAILQ_FIRST(&worker->runs); run != NULL; run = next) {
 		next = TAILQ_NEXT(run, by_worker);
 		if (run->listed_ms == now_ms ||
-		    run->answered_ms >= worker->look_sent_ms)
+		    run->answered_ms >= worker->poll_sent_ms)
 			continue;
 		if (run->state == RUN_RUNNING)
 			run_want_stop(s, run);
@@ -384,39 +384,39 @@
 
 void
 sched_late_ends_reported(struct sched *s, struct sched_worker *worker,
-    const struct look_result *result, int64_t now_ms)
+    const struct poll_result *result, int64_t now_ms)
 {
 	size_t i;
 
 	for (i = 0; i < result->nfinished; i++)
 		note_end(s, worker, &result->finished[i], false, now_ms);
-	worker_touch(s, worker);
+	worker_schedule(s, worker);
 }
 
 void
 sched_poll_answered(struct sched *s, struct sched_worker *worker,
-    enum worker_answer answer, const struct look_result *result, int64_t now_ms)
+    enum worker_answer answer, const struct poll_result *result, int64_t now_ms)
 {
 	bool complete;
 	size_t i;
 
-	worker->look_out = false;
-	worker_touch(s, worker);
+	worker->poll_pending = false;
+	worker_schedule(s, worker);
 	switch (answer) {
 	case ANSWER_OK:
 		break;
 	case ANSWER_FENCED:
 		depose(s);
 		return;
-	case ANSWER_OTHER_LIFE:
-		worker_died(s, worker, now_ms);
+	case ANSWER_OTHER_INCARNATION:
+		worker_incarnation_ended(s, worker, now_ms);
 		return;
 	default:
-		worker_missed(s, worker, now_ms);
+		worker_call_failed(s, worker, now_ms);
 		return;
 	}
 	worker_note_answer(s, worker, result->clock_ms, now_ms);
-	worker->look_at_ms = now_ms;
+	worker->next_poll_ms = now_ms;
 	worker->unneeded = 0;
 	worker_drop_strays(worker);
 	complete = true;
@@ -432,7 +432,7 @@
 		worker->fenced = true;
 		drop_unlisted(s, worker, now_ms);
 	}
-	share_learn(s, worker, now_ms);
+	share_update(s, worker, now_ms);
 	if (!complete || worker->unneeded > 0 || !SLIST_EMPTY(&worker->strays))
-		worker->look_at_ms = now_ms + STRAY_LOOK_MS;
+		worker->next_poll_ms = now_ms + STRAY_LOOK_MS;
 }
--- a/core/sched_crash.c
+++ b/core/sched_crash.c
@@ -50,7 +50,7 @@
 		sched_task_name(run->task, &life->runs[life->nruns].task);
 		life->runs[life->nruns++].attempt = run->attempt;
 	}
-	LIST_INSERT_HEAD(&s->lost_lives, life, link);
+	LIST_INSERT_HEAD(&s->lost_incarnations, life, link);
 }
 
 /* Another life has been listed at the address of one that lapses. */
@@ -86,7 +86,7 @@
 crash_idle_worker_lost(struct sched *s, const struct sched_worker *worker)
 {
 	if (went_unannounced(worker) && !worker->dead && !worker->lapsed)
-		blame_crashed(&s->crash_rate);
+		blame_add_crash(&s->crash_rate);
 }
 
 void
@@ -96,14 +96,14 @@
 	struct sched_run *run;
 
 	if (went_unannounced(worker) && !worker->lapsed) {
-		blame_crashed(&s->crash_rate);
+		blame_add_crash(&s->crash_rate);
 		if (cause == LOSS_LAPSED && is_followed(s, worker))
 			cause = LOSS_CONFIRMED;
 		else if (cause == LOSS_LAPSED)
 			keep_life(s, worker, now_ms);
 	}
 	TAILQ_FOREACH (run, &worker->runs, by_worker)
-		loss_note(s, run, cause, now_ms);
+		loss_record(s, run, cause, now_ms);
 }
 
 static void
@@ -113,9 +113,9 @@
 	size_t i;
 
 	if (cause == LOSS_REFUTED)
-		blame_withdraw(&s->crash_rate);
+		blame_remove_crash(&s->crash_rate);
 	for (i = 0; i < life->nruns; i++)
-		loss_settle(s, &life->runs[i].task, life->runs[i].attempt,
+		loss_resolve(s, &life->runs[i].task, life->runs[i].attempt,
 		    life->id, cause, now_ms);
 	drop_life(life);
 }
@@ -126,7 +126,7 @@
 {
 	struct sched_lost_incarnation *life, *next;
 
-	for (life = LIST_FIRST(&s->lost_lives); life != NULL; life = next) {
+	for (life = LIST_FIRST(&s->lost_incarnations); life != NULL; life = next) {
 		next = LIST_NEXT(life, link);
 		if (strcmp(life->id, worker->id) == 0)
 			settle_life(s, life, cause, now_ms);
@@ -138,7 +138,7 @@
 {
 	struct sched_lost_incarnation *life, *next;
 
-	for (life = LIST_FIRST(&s->lost_lives); life != NULL; life = next) {
+	for (life = LIST_FIRST(&s->lost_incarnations); life != NULL; life = next) {
 		next = LIST_NEXT(life, link);
 		if (worker->serial > life->serial &&
 		    strcmp(life->address, worker->address) == 0 &&
@@ -170,8 +170,8 @@
 	if (s->crash_rate.at_ms != 0 &&
 	    now_ms - s->crash_rate.at_ms < WATCH_EVERY_MS)
 		return;
-	blame_watch(&s->crash_rate, count_up(s), now_ms);
-	for (life = LIST_FIRST(&s->lost_lives); life != NULL; life = next) {
+	blame_update_rate(&s->crash_rate, count_up(s), now_ms);
+	for (life = LIST_FIRST(&s->lost_incarnations); life != NULL; life = next) {
 		next = LIST_NEXT(life, link);
 		if (now_ms - life->at_ms > LIFE_KEEP_MS)
 			drop_life(life);
@@ -181,6 +181,6 @@
 void
 crash_free(struct sched *s)
 {
-	while (!LIST_EMPTY(&s->lost_lives))
-		drop_life(LIST_FIRST(&s->lost_lives));
+	while (!LIST_EMPTY(&s->lost_incarnations))
+		drop_life(LIST_FIRST(&s->lost_incarnations));
 }
--- a/core/sched_health.c
+++ b/core/sched_health.c
@@ -93,7 +93,7 @@
 
 	spec = run->task->step->spec;
 	if (run->state != RUN_RUNNING || run->stop_wanted || spec->lasts ||
-	    spec->gang || run->pace_out || run->pace == 0)
+	    spec->gang || run->pace_pending || run->pace == 0)
 		return false;
 	still_ms =
 	    STILL_MS + (int64_t)(STILL_SHARE * (double)spec->estimate_ms);
@@ -111,10 +111,10 @@
 	TAILQ_FOREACH (run, &worker->runs, by_worker) {
 		if (!stands_still(run, now_ms))
 			continue;
-		s->counts.stills++;
+		s->counts.stalled++;
 		if (run->task->step->spec->filler &&
 		    run->paced_ms <= run->percent_ms) {
-			share_work_again(s, run, now_ms);
+			share_resend_pace(s, run, now_ms);
 			continue;
 		}
 		run->task->avoid = worker->serial;
--- a/core/sched_inherit.c
+++ b/core/sched_inherit.c
@@ -27,14 +27,14 @@
 		worker->expires_ms = now_ms + from->left_ms;
 	if (from->record == RECORD_IN_USE || !from->tasks_known)
 		return;
-	worker->left_tasks =
+	worker->inherited_tasks =
 	    reallocarray(NULL, from->ntasks + 1, sizeof(struct task_name));
-	if (worker->left_tasks == NULL)
+	if (worker->inherited_tasks == NULL)
 		return; /* not known: anything */
 	if (from->ntasks > 0)
-		memcpy(worker->left_tasks, from->tasks,
+		memcpy(worker->inherited_tasks, from->tasks,
 		    from->ntasks * sizeof(struct task_name));
-	worker->nleft_tasks = from->ntasks;
+	worker->ninherited_tasks = from->ntasks;
 }
 
 bool
@@ -47,9 +47,9 @@
 	size_t i;
 
 	if (!worker->fenced) {
-		for (i = 0; i < worker->nleft_tasks; i++)
-			each(&worker->left_tasks[i], ctx);
-		return worker->left_tasks != NULL;
+		for (i = 0; i < worker->ninherited_tasks; i++)
+			each(&worker->inherited_tasks[i], ctx);
+		return worker->inherited_tasks != NULL;
 	}
 	TAILQ_FOREACH (run, &worker->runs, by_worker) {
 		sched_task_name(run->task, &name);
@@ -64,7 +64,7 @@
 worker_is_empty(const struct sched_worker *worker)
 {
 	if (!worker->fenced)
-		return worker->left_tasks != NULL && worker->nleft_tasks == 0;
+		return worker->inherited_tasks != NULL && worker->ninherited_tasks == 0;
 	return TAILQ_EMPTY(&worker->runs) && SLIST_EMPTY(&worker->strays);
 }
 
@@ -102,20 +102,20 @@
 	uint64_t *keys;
 	size_t i;
 
-	if (worker->left_tasks == NULL) {
-		s->any_left = true;
+	if (worker->inherited_tasks == NULL) {
+		s->any_task_inherited = true;
 		return;
 	}
 	keys = reallocarray(s->inherited_hashes,
-	    s->ninherited_hashes + worker->nleft_tasks + 1, sizeof(*keys));
+	    s->ninherited_hashes + worker->ninherited_tasks + 1, sizeof(*keys));
 	if (keys == NULL) {
-		s->any_left = true;
+		s->any_task_inherited = true;
 		return;
 	}
 	s->inherited_hashes = keys;
-	for (i = 0; i < worker->nleft_tasks; i++)
+	for (i = 0; i < worker->ninherited_tasks; i++)
 		s->inherited_hashes[s->ninherited_hashes++] =
-		    key_of(&worker->left_tasks[i]);
+		    key_of(&worker->inherited_tasks[i]);
 }
 
 void
@@ -160,15 +160,15 @@
 	s->unsettled = unsettled;
 	s->place_wanted = true;
 	s->ninherited_hashes = 0;
-	s->any_left = s->record_lost;
-	s->former_left = s->record_lost;
+	s->any_task_inherited = s->record_lost;
+	s->former_leader_active = s->record_lost;
 	RB_FOREACH (worker, sched_worker_tree, &s->workers) {
 		if (worker->inherited == RECORD_NONE ||
 		    sched_worker_settled(worker))
 			continue;
 		add_left(s, worker);
 		if (worker->inherited == RECORD_IN_USE)
-			s->former_left = true;
+			s->former_leader_active = true;
 	}
 	if (s->ninherited_hashes > 1)
 		qsort(s->inherited_hashes, s->ninherited_hashes,
@@ -189,9 +189,9 @@
 	 * says that nobody does.
 	 */
 	if (job->origin != ORIGIN_INHERITED)
-		return job->origin == ORIGIN_EARLY && s->former_left;
-	if (s->any_left || s->ninherited_hashes == 0)
-		return s->any_left;
+		return job->origin == ORIGIN_OVERLAP && s->former_leader_active;
+	if (s->any_task_inherited || s->ninherited_hashes == 0)
+		return s->any_task_inherited;
 	sched_task_name(task, &name);
 	key = key_of(&name);
 	return bsearch(&key, s->inherited_hashes, s->ninherited_hashes,
--- a/core/sched_int.h
+++ b/core/sched_int.h
@@ -51,12 +51,12 @@
 void adopt_strays(struct sched *, struct sched_job *, int64_t now_ms);
 
 /* sched_worker.c */
-void worker_died(struct sched *, struct sched_worker *, int64_t now_ms);
-void worker_missed(struct sched *, struct sched_worker *, int64_t now_ms);
+void worker_incarnation_ended(struct sched *, struct sched_worker *, int64_t now_ms);
+void worker_call_failed(struct sched *, struct sched_worker *, int64_t now_ms);
 /* Something happened to it: its step is due. */
-void worker_touch(struct sched *, struct sched_worker *);
+void worker_schedule(struct sched *, struct sched_worker *);
 /* The steps that are due. */
-void worker_steps(struct sched *, int64_t now_ms);
+void worker_run_due(struct sched *, int64_t now_ms);
 void worker_drop_strays(struct sched_worker *);
 void worker_free(struct sched *, struct sched_worker *);
 bool worker_usable(const struct sched_worker *, int64_t now_ms);
@@ -78,22 +78,22 @@
 
 /* sched_loss.c */
 /* The run went down with its worker. */
-void loss_note(
+void loss_record(
     struct sched *, struct sched_run *, enum sched_loss, int64_t now_ms);
 /* The crash of its worker is sure, or it is up after all. */
-void loss_settle(struct sched *, const struct task_name *, uint32_t attempt,
+void loss_resolve(struct sched *, const struct task_name *, uint32_t attempt,
     const char *worker, enum sched_loss, int64_t now_ms);
 /* The run ended without its worker. */
 void loss_survived(
     struct sched_task *, const struct sched_run *, int64_t now_ms);
 /* The task may crash the worker that starts it. */
-bool loss_suspected(const struct sched *, const struct sched_task *);
+bool loss_is_suspect(const struct sched *, const struct sched_task *);
 /* So long nothing else is started beside a suspect. */
-int64_t loss_alone_ms(const struct sched_task *);
+int64_t loss_isolation_ms(const struct sched_task *);
 /* Its next start waits until its losses are saved. */
-bool loss_unsaved(const struct sched_task *, int64_t now_ms);
+bool loss_awaits_save(const struct sched_task *, int64_t now_ms);
 /* When a task that went down with its worker may start again. */
-int64_t loss_hold_ms(
+int64_t loss_retry_at_ms(
     const struct sched *, const struct sched_task *, int64_t now_ms);
 
 /* sched_lease.c */
@@ -136,42 +136,42 @@
 
 /* sched_leave.c */
 /* Stop what lasts on workers that leave, so that it goes on elsewhere. */
-void leave_move(struct sched *, int64_t now_ms);
+void drain_move_tasks(struct sched *, int64_t now_ms);
 
 /* sched_rank.c */
 /* Higher goes first. */
-double rank_of(const struct sched_job *, int64_t now_ms);
+double rank_job(const struct sched_job *, int64_t now_ms);
 /* For qsort() over pointers to jobs by their ranks, highest first. */
-int rank_compare(const void *, const void *);
+int rank_cmp(const void *, const void *);
 
 /* sched_share.c */
 /* The worker has just listed what runs: learn from it, and set paces. */
-void share_learn(struct sched *, struct sched_worker *, int64_t now_ms);
+void share_update(struct sched *, struct sched_worker *, int64_t now_ms);
 /* Fillers came, went, or were paced. */
-void share_changed(struct sched *, struct sched_worker *, int64_t now_ms);
+void share_update_usage(struct sched *, struct sched_worker *, int64_t now_ms);
 /* The share of the worker's processors that a task uses. */
-double share_of(const struct sched *, const struct sched_worker *,
+double share_cpu_fraction(const struct sched *, const struct sched_worker *,
     const struct graph_step *);
 /*
  * How near a serving task there comes to its target beside one more filler
  * that uses this share of the worker: over 1 it is late.
  */
-double share_pressure(const struct sched *, const struct sched_worker *,
+double share_load_ratio(const struct sched *, const struct sched_worker *,
     int filler_image, double share);
 /* Rise of the load of all serving tasks there by it. */
-double share_added(const struct sched *, const struct sched_worker *,
+double share_added_load(const struct sched *, const struct sched_worker *,
     int filler_image, double share);
 /* A filler stands still though it may work: tell its worker again. */
-void share_work_again(struct sched *, struct sched_run *, int64_t now_ms);
-void share_count(
+void share_resend_pace(struct sched *, struct sched_run *, int64_t now_ms);
+void share_count_serving(
     struct sched_worker *, int image, int64_t target_ms, int change);
 
 /* sched_use.c */
 void use_init(struct sched *);
 /* The worker has just listed what runs. */
-void use_learn(struct sched *, const struct sched_worker *, int64_t now_ms);
+void use_update(struct sched *, const struct sched_worker *, int64_t now_ms);
 /* Processors that nobody there is thought to use, in thousandths. */
-int64_t use_unused(const struct sched *, const struct sched_worker *);
+int64_t use_idle_cpu(const struct sched *, const struct sched_worker *);
 
 /* sched_health.c */
 void health_task_done(
--- a/core/sched_job.c
+++ b/core/sched_job.c
@@ -388,7 +388,7 @@
 		return;
 	step->open = true;
 	headroom_add_demand(step->occurrence->job->queue, step->spec, now_ms);
-	step->image = press_image(s->press, step->spec->image);
+	step->image = interference_image(s->interference, step->spec->image);
 	for (i = 0; i < step->spec->count; i++) {
 		if (step->tasks[i].state == SCHED_BLOCKED)
 			task_enqueue(s, &step->tasks[i], now_ms, now_ms);
--- a/core/sched_lease.c
+++ b/core/sched_lease.c
@@ -44,7 +44,7 @@
 
 	left_ms = s->opt.lease_ms;
 	if (worker->expires_ms != 0)
-		left_ms = worker->expires_ms - worker->look_sent_ms;
+		left_ms = worker->expires_ms - worker->poll_sent_ms;
 	if (worker->granted_ms < clock_ms + left_ms)
 		worker->granted_ms = clock_ms + left_ms;
 }
@@ -216,7 +216,7 @@
 sched_worker_recording(struct sched_worker *worker)
 {
 	worker->record_may |= RECORD_BIT(worker->record_wanted);
-	worker->told_empty = worker_is_empty(worker);
+	worker->record_empty = worker_is_empty(worker);
 }
 
 void
@@ -279,9 +279,9 @@
 		lease_request_record(s, worker, RECORD_EXPIRING);
 	else if (worker->heard_ms != 0 && worker->misses == 0)
 		lease_request_record(s, worker, record_of(worker, now_ms));
-	if (worker->record_wanted != RECORD_IN_USE && !worker->told_empty &&
+	if (worker->record_wanted != RECORD_IN_USE && !worker->record_empty &&
 	    worker_is_empty(worker)) {
-		worker->told_empty = true;
+		worker->record_empty = true;
 		s->opt.actions->record(s, worker, s->opt.ctx);
 	}
 }
--- a/core/sched_leave.c
+++ b/core/sched_leave.c
@@ -143,17 +143,17 @@
 }
 
 void
-leave_move(struct sched *s, int64_t now_ms)
+drain_move_tasks(struct sched *s, int64_t now_ms)
 {
 	struct sched_worker *worker;
 	struct leaving l = { s, now_ms, 0, 0, 0 };
 
-	if (s->frozen || now_ms < s->leave_ms)
+	if (s->frozen || now_ms < s->drain_pass_ms)
 		return;
-	s->leave_ms = now_ms + PASS_EVERY_MS;
+	s->drain_pass_ms = now_ms + PASS_EVERY_MS;
 	if (!anything_to_move(s))
 		return;
-	sched_due(s, s->leave_ms);
+	sched_due(s, s->drain_pass_ms);
 	measure(&l);
 	RB_FOREACH (worker, sched_worker_tree, &s->workers) {
 		if (is_leaving(worker))
--- a/core/sched_loss.c
+++ b/core/sched_loss.c
@@ -61,9 +61,9 @@
 blame_of(const struct sched *s, const struct sched_task *task)
 {
 	if (is_row(task))
-		return BLAME_GUILTY;
-	return blame_judge(
-	    &s->crash_rate, task->nlosses, task->losses_ms + task->lived_ms);
+		return BLAME_CERTAIN;
+	return blame_assess(
+	    &s->crash_rate, task->nlosses, task->losses_ms + task->survived_ms);
 }
 
 static uint32_t
@@ -118,7 +118,7 @@
 	size_t after;
 
 	task->losses_ms -= loss->ran_ms;
-	task->lived_ms += loss->ran_ms;
+	task->survived_ms += loss->ran_ms;
 	after = (size_t)(&task->losses[--task->nlosses] - loss);
 	memmove(loss, loss + 1, after * sizeof(*loss));
 }
@@ -172,7 +172,7 @@
 	enum blame blame;
 
 	blame = blame_of(s, task);
-	if (blame == BLAME_GUILTY && is_proved(task)) {
+	if (blame == BLAME_CERTAIN && is_proved(task)) {
 		s->counts.given_up++;
 		job_fail(s, task_job(task), now_ms);
 		return;
@@ -198,7 +198,7 @@
 }
 
 void
-loss_note(struct sched *s, struct sched_run *run, enum sched_loss cause,
+loss_record(struct sched *s, struct sched_run *run, enum sched_loss cause,
     int64_t now_ms)
 {
 	struct task_loss loss;
@@ -220,7 +220,7 @@
 }
 
 void
-loss_settle(struct sched *s, const struct task_name *name, uint32_t attempt,
+loss_resolve(struct sched *s, const struct task_name *name, uint32_t attempt,
     const char *worker, enum sched_loss cause, int64_t now_ms)
 {
 	struct sched_task *task;
@@ -243,7 +243,7 @@
     struct sched_task *task, const struct sched_run *run, int64_t now_ms)
 {
 	if (run->begun_ms != 0)
-		task->lived_ms += now_ms - run->begun_ms;
+		task->survived_ms += now_ms - run->begun_ms;
 }
 
 void
@@ -258,13 +258,13 @@
 }
 
 bool
-loss_suspected(const struct sched *s, const struct sched_task *task)
+loss_is_suspect(const struct sched *s, const struct sched_task *task)
 {
 	return task->nlosses > 0 && blame_of(s, task) != BLAME_NONE;
 }
 
 int64_t
-loss_alone_ms(const struct sched_task *task)
+loss_isolation_ms(const struct sched_task *task)
 {
 	int64_t alone_ms;
 	uint32_t i;
@@ -283,7 +283,7 @@
  * than for the proof of a crash.
  */
 bool
-loss_unsaved(const struct sched_task *task, int64_t now_ms)
+loss_awaits_save(const struct sched_task *task, int64_t now_ms)
 {
 	return task->nlosses >= SURE_MIN &&
 	    task_job(task)->saved < task->losses_change &&
@@ -291,10 +291,10 @@
 }
 
 int64_t
-loss_hold_ms(
+loss_retry_at_ms(
     const struct sched *s, const struct sched_task *task, int64_t now_ms)
 {
-	if (task->nlosses < SURE_MIN || blame_of(s, task) != BLAME_GUILTY)
+	if (task->nlosses < SURE_MIN || blame_of(s, task) != BLAME_CERTAIN)
 		return now_ms;
 	return now_ms + HOLD_MS;
 }
--- a/core/sched_place.c
+++ b/core/sched_place.c
@@ -200,11 +200,11 @@
 		score = suits_serving(worker, task);
 	else
 		score =
-		    (double)(use_unused(p->s, worker) - spec->size.cpu_millis);
+		    (double)(use_idle_cpu(p->s, worker) - spec->size.cpu_millis);
 	if (spec->filler && worker->serving > 0)
 		score -= PRESSURE_COST *
-		    share_added(p->s, worker, task->step->image,
-			share_of(p->s, worker, spec));
+		    share_added_load(p->s, worker, task->step->image,
+			share_cpu_fraction(p->s, worker, spec));
 	if (worker->speed > 1.3)
 		score -= 8000 * (worker->speed - 1);
 	if (spec->rack[0] != '\0' &&
@@ -212,7 +212,7 @@
 		score -= 1e6;
 	if (task->avoid == worker->serial)
 		score -= 1e5;
-	if (loss_suspected(p->s, task))
+	if (loss_is_suspect(p->s, task))
 		score -= LOST_RUN_COST * (double)sched_worker_nruns(worker);
 	return score;
 }
@@ -228,7 +228,7 @@
 	const struct graph_step *spec;
 
 	spec = task->step->spec;
-	if ((double)use_unused(p->s, worker) <
+	if ((double)use_idle_cpu(p->s, worker) <
 	    FILLER_SHARE * p->s->batch_use * (double)spec->size.cpu_millis)
 		return false;
 	/* New ones in place of those held back would keep the task late. */
@@ -237,8 +237,8 @@
 	if (worker->serving == 0 ||
 	    p->now_ms - task->since_ms > PRESSURE_WAIT_MS)
 		return true;
-	return share_pressure(p->s, worker, task->step->image,
-		   share_of(p->s, worker, spec)) <= 1;
+	return share_load_ratio(p->s, worker, task->step->image,
+		   share_cpu_fraction(p->s, worker, spec)) <= 1;
 }
 
 /* How many that suit are weighed; all, where one may be much better. */
@@ -248,7 +248,7 @@
 	const struct graph_step *spec;
 
 	spec = task->step->spec;
-	if (loss_suspected(p->s, task) || spec->rack[0] != '\0' ||
+	if (loss_is_suspect(p->s, task) || spec->rack[0] != '\0' ||
 	    spec->tail_target_ms > 0)
 		return SIZE_MAX;
 	return ENOUGH;
@@ -266,7 +266,7 @@
 		return false;
 	p->looked++;
 	return worker_usable(candidate->worker, p->now_ms) &&
-	    candidate->worker->alone_until_ms <= p->now_ms &&
+	    candidate->worker->isolated_until_ms <= p->now_ms &&
 	    allowed(candidate->worker, task) &&
 	    (!spec->filler || filler_may(p, candidate->worker, task));
 }
@@ -343,10 +343,10 @@
 		worker->granted_ms = run->deadline_worker_ms;
 	s->counts.starts++;
 	health_task_placed(worker, now_ms);
-	if (loss_suspected(s, run->task))
-		worker->alone_until_ms = now_ms + loss_alone_ms(run->task);
+	if (loss_is_suspect(s, run->task))
+		worker->isolated_until_ms = now_ms + loss_isolation_ms(run->task);
 	if (run->task->step->spec->filler)
-		share_changed(s, worker, now_ms);
+		share_update_usage(s, worker, now_ms);
 	s->opt.actions->start(s, run, s->opt.ctx);
 }
 
@@ -392,7 +392,7 @@
 	for (i = 0; i < step->spec->count; i++) {
 		if (step->tasks[i].state != SCHED_WAITING ||
 		    step->tasks[i].not_before_ms > p->now_ms ||
-		    loss_unsaved(&step->tasks[i], p->now_ms) ||
+		    loss_awaits_save(&step->tasks[i], p->now_ms) ||
 		    inherit_blocks(p->s, &step->tasks[i]))
 			return;
 		n = run_next_attempt(p->s, &step->tasks[i]);
@@ -483,7 +483,7 @@
 			sched_due(p->s, task->not_before_ms);
 			continue;
 		}
-		if (loss_unsaved(task, p->now_ms) || inherit_blocks(p->s, task))
+		if (loss_awaits_save(task, p->now_ms) || inherit_blocks(p->s, task))
 			continue;
 		if (p->started >= p->starts_max)
 			return;
@@ -502,10 +502,10 @@
 	struct placing p;
 	size_t i, n;
 
-	if (s->frozen || now_ms < s->place_gap_ms ||
+	if (s->frozen || now_ms < s->place_min_ms ||
 	    (!s->place_wanted && now_ms < s->place_ms)) {
 		if (s->place_wanted)
-			sched_due(s, s->place_gap_ms);
+			sched_due(s, s->place_min_ms);
 		return;
 	}
 	if (s->starts_allowed == 0) {
@@ -528,10 +528,10 @@
 	TAILQ_FOREACH (job, &s->open, link) {
 		if (job->nwaiting == 0)
 			continue;
-		job->rank = rank_of(job, now_ms);
+		job->rank = rank_job(job, now_ms);
 		jobs[i++] = job;
 	}
-	qsort(jobs, n, sizeof(void *), rank_compare);
+	qsort(jobs, n, sizeof(void *), rank_cmp);
 	memset(&p, 0, sizeof(p));
 	p.s = s;
 	p.now_ms = now_ms;
@@ -542,7 +542,7 @@
 	/* What a gang took and gave back makes no more room than before. */
 	s->place_wanted = p.started >= p.starts_max;
 	p.looked += n + p.passed / PASSED_PER_LOOK;
-	s->place_gap_ms =
+	s->place_min_ms =
 	    now_ms + PASS_GAP_MS + (int64_t)(p.looked / LOOKS_PER_MS);
 	free(p.candidates);
 	free(jobs);
--- a/core/sched_rank.c
+++ b/core/sched_rank.c
@@ -62,7 +62,7 @@
 	}
 	return from_ms + queue->terms.target_ms +
 	    (int64_t)(queue->terms.stretch * queue->run_ratio *
-		(double)graph_chain_ms(job->graph));
+		(double)graph_critical_path_ms(job->graph));
 }
 
 /* Tiers of the order in which jobs are placed. */
@@ -80,7 +80,7 @@
  * would serve more of them, but never the largest.
  */
 double
-rank_of(const struct sched_job *job, int64_t now_ms)
+rank_job(const struct sched_job *job, int64_t now_ms)
 {
 	int64_t ends_ms, allowed_ms, objective, past;
 
@@ -98,7 +98,7 @@
 }
 
 int
-rank_compare(const void *a, const void *b)
+rank_cmp(const void *a, const void *b)
 {
 	const struct sched_job *const *x, *const *y;
 
--- a/core/sched_run.c
+++ b/core/sched_run.c
@@ -56,7 +56,7 @@
 	if ((run = calloc(1, sizeof(*run))) == NULL)
 		return NULL;
 	spec = task->step->spec;
-	task->step->image = press_image(s->press, spec->image);
+	task->step->image = interference_image(s->interference, spec->image);
 	run->task = task;
 	run->worker = worker;
 	run->attempt = attempt;
@@ -76,7 +76,7 @@
 	if (spec->tail_target_ms > 0) {
 		worker->serving++;
 		worker->serving_cpu += spec->size.cpu_millis;
-		share_count(worker, task->step->image, spec->tail_target_ms, 1);
+		share_count_serving(worker, task->step->image, spec->tail_target_ms, 1);
 	}
 	TAILQ_INSERT_TAIL(&worker->runs, run, by_worker);
 	TAILQ_INSERT_TAIL(&task->runs, run, by_task);
@@ -118,7 +118,7 @@
 	if (spec->tail_target_ms > 0) {
 		worker->serving--;
 		worker->serving_cpu -= spec->size.cpu_millis;
-		share_count(
+		share_count_serving(
 		    worker, task->step->image, spec->tail_target_ms, -1);
 	}
 	task->step->nactive--;
@@ -146,7 +146,7 @@
 		return;
 	run->stop_wanted = true;
 	run->stop_at_ms = 0;
-	worker_touch(s, run->worker);
+	worker_schedule(s, run->worker);
 }
 
 void
@@ -166,7 +166,7 @@
 {
 	struct task_name name;
 
-	run->stop_out = true;
+	run->stop_pending = true;
 	run->stop_at_ms = now_ms + STOP_RETRY_MS;
 	s->counts.stops++;
 	sched_task_name(run->task, &name);
@@ -180,7 +180,7 @@
 	struct sched_run *run;
 
 	TAILQ_FOREACH (run, &worker->runs, by_worker) {
-		if (!run->stop_wanted || run->stop_out ||
+		if (!run->stop_wanted || run->stop_pending ||
 		    run->state == RUN_STOPPING)
 			continue;
 		if (run->stop_at_ms > now_ms)
--- a/core/sched_share.c
+++ b/core/sched_share.c
@@ -73,12 +73,12 @@
 static double
 target_share(const struct sched_run *run)
 {
-	return (double)run->figure /
+	return (double)run->measurement /
 	    (double)run->task->step->spec->tail_target_ms;
 }
 
 double
-share_of(const struct sched *s, const struct sched_worker *worker,
+share_cpu_fraction(const struct sched *s, const struct sched_worker *worker,
     const struct graph_step *spec)
 {
 	if (worker->room.capacity.cpu_millis <= 0)
@@ -93,12 +93,12 @@
 {
 	if (pace == PACE_UNKNOWN)
 		pace = 100;
-	return share_of(s, run->worker, run->task->step->spec) * pace / 100;
+	return share_cpu_fraction(s, run->worker, run->task->step->spec) * pace / 100;
 }
 
 /* Serving tasks of an image come to the worker (1) or leave it (-1). */
 void
-share_count(
+share_count_serving(
     struct sched_worker *worker, int image, int64_t target_ms, int change)
 {
 	struct sched_served *served;
@@ -115,7 +115,7 @@
 		served->image = image;
 		served->n = 0;
 		served->load = 0;
-		served->strain = 0;
+		served->filler_load = 0;
 		served->target_ms = target_ms;
 	}
 	served = &worker->served[i];
@@ -128,19 +128,19 @@
 
 /* Doses: what fillers of each image use now, and used lately. */
 
-static struct sched_dose *
+static struct sched_filler_usage *
 dose_of(struct sched_worker *worker, int image)
 {
-	struct sched_dose *dose;
+	struct sched_filler_usage *dose;
 	size_t i;
 
-	for (i = 0; i < worker->ndoses; i++) {
-		if (worker->doses[i].filler == image)
-			return &worker->doses[i];
+	for (i = 0; i < worker->nusages; i++) {
+		if (worker->usages[i].filler == image)
+			return &worker->usages[i];
 	}
-	if (worker->ndoses == SCHED_DOSES_MAX)
+	if (worker->nusages == SCHED_FILLER_USAGE_MAX)
 		return NULL;
-	dose = &worker->doses[worker->ndoses++];
+	dose = &worker->usages[worker->nusages++];
 	dose->filler = image;
 	dose->now = 0;
 	dose->lately = 0;
@@ -151,18 +151,18 @@
 static void
 fade_doses(struct sched_worker *worker, int64_t now_ms)
 {
-	struct sched_dose *dose;
+	struct sched_filler_usage *dose;
 	double kept;
 	size_t i;
 
-	kept = exp(-(double)(now_ms - worker->dosed_ms) / LATELY_MS);
-	worker->dosed_ms = now_ms;
-	for (i = 0; i < worker->ndoses;) {
-		dose = &worker->doses[i];
+	kept = exp(-(double)(now_ms - worker->usages_ms) / LATELY_MS);
+	worker->usages_ms = now_ms;
+	for (i = 0; i < worker->nusages;) {
+		dose = &worker->usages[i];
 		dose->lately = dose->lately * kept + dose->now * (1 - kept);
 		dose->now = 0;
 		if (dose->lately < DOSE_GONE)
-			*dose = worker->doses[--worker->ndoses];
+			*dose = worker->usages[--worker->nusages];
 		else
 			i++;
 	}
@@ -176,19 +176,19 @@
 
 	for (i = 0; i < worker->nserved; i++) {
 		served = &worker->served[i];
-		served->strain = 0;
-		for (j = 0; j < worker->ndoses; j++)
-			served->strain += worker->doses[j].now *
-			    press_effect(s->press, served->image,
-				worker->doses[j].filler);
+		served->filler_load = 0;
+		for (j = 0; j < worker->nusages; j++)
+			served->filler_load += worker->usages[j].now *
+			    interference_effect(s->interference, served->image,
+				worker->usages[j].filler);
 	}
 }
 
 void
-share_changed(struct sched *s, struct sched_worker *worker, int64_t now_ms)
+share_update_usage(struct sched *s, struct sched_worker *worker, int64_t now_ms)
 {
 	const struct sched_run *run;
-	struct sched_dose *dose;
+	struct sched_filler_usage *dose;
 
 	fade_doses(worker, now_ms);
 	TAILQ_FOREACH (run, &worker->runs, by_worker) {
@@ -204,15 +204,15 @@
 /* Learning. */
 
 static size_t
-lately(const struct sched_worker *worker, struct press_dose *doses)
+lately(const struct sched_worker *worker, struct filler_usage *usages)
 {
 	size_t i;
 
-	for (i = 0; i < worker->ndoses; i++) {
-		doses[i].filler = worker->doses[i].filler;
-		doses[i].share = worker->doses[i].lately;
+	for (i = 0; i < worker->nusages; i++) {
+		usages[i].filler = worker->usages[i].filler;
+		usages[i].share = worker->usages[i].lately;
 	}
-	return worker->ndoses;
+	return worker->nusages;
 }
 
 static void
@@ -222,7 +222,7 @@
 	double load;
 	size_t i;
 
-	load = press_load_of(&run->task->step->load);
+	load = load_estimate_value(&run->task->step->load);
 	for (i = 0; i < worker->nserved; i++) {
 		served = &worker->served[i];
 		if (served->image == run->task->step->image &&
@@ -234,11 +234,11 @@
 static void
 learn(struct sched *s, struct sched_worker *worker, int64_t now_ms)
 {
-	struct press_dose doses[SCHED_DOSES_MAX];
+	struct filler_usage usages[SCHED_FILLER_USAGE_MAX];
 	struct sched_run *run;
 	size_t i, n;
 
-	n = lately(worker, doses);
+	n = lately(worker, usages);
 	for (i = 0; i < worker->nserved; i++)
 		worker->served[i].load = 0;
 	TAILQ_FOREACH (run, &worker->runs, by_worker) {
@@ -247,8 +247,8 @@
 		if (run->listed_ms == now_ms && run->percent == 100 &&
 		    now_ms - run->sampled_ms >= SAMPLE_MS) {
 			run->sampled_ms = now_ms;
-			press_learn(s->press, run->task->step->image,
-			    &run->task->step->load, doses, n, run->figure,
+			interference_update(s->interference, run->task->step->image,
+			    &run->task->step->load, usages, n, run->measurement,
 			    (double)run->task->step->spec->tail_target_ms,
 			    now_ms);
 		}
@@ -261,27 +261,27 @@
 static double
 limit_of(const struct sched *s, const struct sched_served *served)
 {
-	return press_limit(
-	    s->press, served->image, OVER_SHARE * (double)served->target_ms);
+	return interference_load_limit(
+	    s->interference, served->image, OVER_SHARE * (double)served->target_ms);
 }
 
 double
-share_pressure(const struct sched *s, const struct sched_worker *worker,
+share_load_ratio(const struct sched *s, const struct sched_worker *worker,
     int image, double share)
 {
-	const struct press_load never_listed = { 0 };
+	const struct load_estimate never_listed = { 0 };
 	const struct sched_served *served;
 	double load, unknown, pressure, highest;
 	size_t i;
 
 	highest = 0;
-	unknown = press_load_of(&never_listed);
+	unknown = load_estimate_value(&never_listed);
 	for (i = 0; i < worker->nserved; i++) {
 		served = &worker->served[i];
 		load = served->load > 0 ? served->load : unknown;
 		pressure = (load + RESERVE) *
-		    (1 + served->strain +
-			share * press_effect(s->press, served->image, image)) /
+		    (1 + served->filler_load +
+			share * interference_effect(s->interference, served->image, image)) /
 		    limit_of(s, served);
 		if (pressure > highest)
 			highest = pressure;
@@ -290,7 +290,7 @@
 }
 
 double
-share_added(const struct sched *s, const struct sched_worker *worker, int image,
+share_added_load(const struct sched *s, const struct sched_worker *worker, int image,
     double share)
 {
 	const struct sched_served *served;
@@ -301,7 +301,7 @@
 	for (i = 0; i < worker->nserved; i++) {
 		served = &worker->served[i];
 		added += served->n * share *
-		    press_effect(s->press, served->image, image);
+		    interference_effect(s->interference, served->image, image);
 	}
 	return added;
 }
@@ -311,10 +311,10 @@
 static void
 set_pace(struct sched *s, struct sched_run *run, int percent, int64_t now_ms)
 {
-	if (run->pace_out || run->pace == percent)
+	if (run->pace_pending || run->pace == percent)
 		return;
 	run->pace = percent;
-	run->pace_out = true;
+	run->pace_pending = true;
 	run->paced_ms = now_ms;
 	run->worker->paced_ms = now_ms;
 	s->counts.paces++;
@@ -322,7 +322,7 @@
 }
 
 void
-share_work_again(struct sched *s, struct sched_run *run, int64_t now_ms)
+share_resend_pace(struct sched *s, struct sched_run *run, int64_t now_ms)
 {
 	run->pace = PACE_UNKNOWN;
 	set_pace(s, run, 100, now_ms);
@@ -357,7 +357,7 @@
 
 	run = paces->runs[i];
 	return share_at(s, run, paces->pace[i]) *
-	    press_effect(s->press, served->image, run->task->step->image);
+	    interference_effect(s->interference, served->image, run->task->step->image);
 }
 
 /* What all of them raise its load by, and which of them by most. */
@@ -365,21 +365,21 @@
 strain_by_all(const struct sched *s, const struct sched_served *served,
     const struct paces *paces, size_t *most, double *by_most)
 {
-	double part, strain;
+	double part, filler_load;
 	size_t i;
 
-	strain = 0;
+	filler_load = 0;
 	*by_most = 0;
 	*most = 0;
 	for (i = 0; i < paces->n; i++) {
 		part = strain_by(s, served, paces, i);
-		strain += part;
+		filler_load += part;
 		if (part > *by_most) {
 			*by_most = part;
 			*most = i;
 		}
 	}
-	return strain;
+	return filler_load;
 }
 
 /* Slow down those that press most until the tasks stay below their target. */
@@ -387,7 +387,7 @@
 fit_served(const struct sched *s, const struct sched_served *served,
     struct paces *paces, double reserve)
 {
-	double allowed, by_most, strain;
+	double allowed, by_most, filler_load;
 	size_t most;
 	int lower;
 
@@ -395,11 +395,11 @@
 		return;
 	allowed = limit_of(s, served) / (served->load + reserve) - 1;
 	for (;;) {
-		strain = strain_by_all(s, served, paces, &most, &by_most);
-		if (strain <= allowed || by_most <= 0)
+		filler_load = strain_by_all(s, served, paces, &most, &by_most);
+		if (filler_load <= allowed || by_most <= 0)
 			return;
 		lower = paces->pace[most] -
-		    (int)ceil((strain - allowed) / by_most * paces->pace[most]);
+		    (int)ceil((filler_load - allowed) / by_most * paces->pace[most]);
 		if (lower < 0)
 			lower = 0;
 		paces->pace[most] = lower / PACE_STEP * PACE_STEP;
@@ -430,10 +430,10 @@
 	if (share < GOOD_SHARE ||
 	    (run->late_since_ms == 0 && share <= OVER_SHARE)) {
 		run->late_since_ms = 0;
-		run->good_ms = run->figure_ms;
+		run->on_time_ms = run->measurement_ms;
 	} else if (run->late_since_ms == 0)
 		run->late_since_ms =
-		    run->good_ms != 0 ? run->good_ms : run->figure_ms;
+		    run->on_time_ms != 0 ? run->on_time_ms : run->measurement_ms;
 }
 
 /* The time since when the latest of the serving tasks is over; 0: none. */
@@ -445,7 +445,7 @@
 
 	since_ms = 0;
 	TAILQ_FOREACH (run, &worker->runs, by_worker) {
-		if (!is_serving(run) || run->figure_ms == 0)
+		if (!is_serving(run) || run->measurement_ms == 0)
 			continue;
 		note_late(run);
 		if (run->late_since_ms != 0 &&
@@ -470,7 +470,7 @@
 	TAILQ_FOREACH (run, &worker->runs, by_worker) {
 		if (!is_serving(run) || run->late_since_ms == 0)
 			continue;
-		effect = press_effect(s->press, run->task->step->image,
+		effect = interference_effect(s->interference, run->task->step->image,
 		    filler->task->step->image);
 		if (effect > highest)
 			highest = effect;
@@ -487,7 +487,7 @@
 	best = NULL;
 	highest = -1;
 	TAILQ_FOREACH (run, &worker->runs, by_worker) {
-		if (!is_filler(run) || run->pace == 0 || run->pace_out)
+		if (!is_filler(run) || run->pace == 0 || run->pace_pending)
 			continue;
 		part = blame(s, worker, run);
 		if (part > highest) {
@@ -558,11 +558,11 @@
 }
 
 void
-share_learn(struct sched *s, struct sched_worker *worker, int64_t now_ms)
+share_update(struct sched *s, struct sched_worker *worker, int64_t now_ms)
 {
 	int64_t late_ms;
 
-	share_changed(s, worker, now_ms);
+	share_update_usage(s, worker, now_ms);
 	late_ms = late_since(worker, now_ms);
 	if (late_ms != 0)
 		late_ms = now_ms - late_ms;
@@ -571,9 +571,9 @@
 	learn(s, worker, now_ms);
 	if (worker->filler_cpu == 0)
 		return;
-	use_learn(s, worker, now_ms);
+	use_update(s, worker, now_ms);
 	set_paces(s, worker, late_ms, now_ms);
 	hold_back_late(s, worker, late_ms, now_ms);
-	share_changed(s, worker, now_ms);
-	worker->pressure = share_pressure(s, worker, PRESS_NONE, 0);
+	share_update_usage(s, worker, now_ms);
+	worker->pressure = share_load_ratio(s, worker, IMAGE_NONE, 0);
 }
--- a/core/sched_use.c
+++ b/core/sched_use.c
@@ -40,7 +40,7 @@
 }
 
 int64_t
-use_unused(const struct sched *s, const struct sched_worker *worker)
+use_idle_cpu(const struct sched *s, const struct sched_worker *worker)
 {
 	int64_t batch;
 
@@ -61,7 +61,7 @@
 static bool
 is_measured(const struct sched_run *run, int64_t now_ms)
 {
-	return run->listed_ms == now_ms && run->figure > 0 &&
+	return run->listed_ms == now_ms && run->measurement > 0 &&
 	    run->begun_ms != 0 && now_ms - run->begun_ms >= SETTLE_MS &&
 	    now_ms - run->paced_ms >= SETTLE_MS;
 }
@@ -79,10 +79,10 @@
 		use->batch += (int64_t)(s->batch_use * asked);
 		return;
 	}
-	use->batch += run->figure;
+	use->batch += run->measurement;
 	if (asked <= 0)
 		return;
-	share = (double)run->figure / asked;
+	share = (double)run->measurement / asked;
 	if (run->task->step->spec->filler) {
 		use->fillers = true;
 		if (share < SHORT_SHARE)
@@ -97,8 +97,8 @@
 {
 	int64_t since_ms;
 
-	since_ms = now_ms - s->use_fell_ms;
-	s->use_fell_ms = now_ms;
+	since_ms = now_ms - s->use_decayed_ms;
+	s->use_decayed_ms = now_ms;
 	if (since_ms > FALL_SPAN_MS)
 		since_ms = FALL_SPAN_MS;
 	s->serving_use -= FALL_PER_S * (double)since_ms / 1000;
@@ -108,7 +108,7 @@
 
 /* The worker has just listed what runs. */
 void
-use_learn(struct sched *s, const struct sched_worker *worker, int64_t now_ms)
+use_update(struct sched *s, const struct sched_worker *worker, int64_t now_ms)
 {
 	const struct sched_run *run;
 	struct use use = { 0, false, false };
--- a/core/sched_worker.c
+++ b/core/sched_worker.c
@@ -45,29 +45,29 @@
 	return a->serial < b->serial ? -1 : a->serial > b->serial;
 }
 
-RB_PROTOTYPE(sched_step_tree, sched_worker, by_step, step_cmp)
-RB_GENERATE(sched_step_tree, sched_worker, by_step, step_cmp)
+RB_PROTOTYPE(sched_due_tree, sched_worker, by_due, step_cmp)
+RB_GENERATE(sched_due_tree, sched_worker, by_due, step_cmp)
 
 static void
 steps_insert(struct sched *s, struct sched_worker *worker, int64_t at_ms)
 {
 	worker->step_ms = at_ms;
-	worker->in_steps = true;
-	RB_INSERT(sched_step_tree, &s->workers_by_due, worker);
+	worker->in_due_tree = true;
+	RB_INSERT(sched_due_tree, &s->workers_by_due, worker);
 }
 
 static void
 steps_remove(struct sched *s, struct sched_worker *worker)
 {
-	if (worker->in_steps)
-		RB_REMOVE(sched_step_tree, &s->workers_by_due, worker);
-	worker->in_steps = false;
+	if (worker->in_due_tree)
+		RB_REMOVE(sched_due_tree, &s->workers_by_due, worker);
+	worker->in_due_tree = false;
 }
 
 void
-worker_touch(struct sched *s, struct sched_worker *worker)
+worker_schedule(struct sched *s, struct sched_worker *worker)
 {
-	if (worker->in_steps && worker->step_ms != 0) {
+	if (worker->in_due_tree && worker->step_ms != 0) {
 		steps_remove(s, worker);
 		steps_insert(s, worker, 0);
 	}
@@ -135,7 +135,7 @@
 	}
 	steps_remove(s, worker);
 	RB_REMOVE(sched_worker_tree, &s->workers, worker);
-	free(worker->left_tasks);
+	free(worker->inherited_tasks);
 	free(worker);
 }
 
@@ -148,7 +148,7 @@
 	crash_worker_listed(s, worker, now_ms);
 	if (!worker->listed) {
 		worker->listed = true;
-		worker->look_at_ms = now_ms;
+		worker->next_poll_ms = now_ms;
 	}
 	/* Read again later, the same notice would seem to name a later time. */
 	if (!worker->draining || worker->leaves_ms == 0 ||
@@ -157,7 +157,7 @@
 	worker->draining = draining;
 	if (worker->record_wanted == RECORD_NONE && !draining)
 		lease_request_record(s, worker, RECORD_IN_USE);
-	worker_touch(s, worker);
+	worker_schedule(s, worker);
 }
 
 void
@@ -166,7 +166,7 @@
 {
 	(void)now_ms;
 	worker->listed = false;
-	worker_touch(s, worker);
+	worker_schedule(s, worker);
 }
 
 bool
@@ -209,7 +209,7 @@
 		s->counts.lapsed++;
 		n++;
 		run_settle(s, run);
-		run_requeue(s, task, loss_hold_ms(s, task, now_ms), now_ms);
+		run_requeue(s, task, loss_retry_at_ms(s, task, now_ms), now_ms);
 	}
 	sched_due(s, 0);
 	return n;
@@ -217,11 +217,11 @@
 
 /* That life of the worker is over, and so is all that ran there. */
 void
-worker_died(struct sched *s, struct sched_worker *worker, int64_t now_ms)
+worker_incarnation_ended(struct sched *s, struct sched_worker *worker, int64_t now_ms)
 {
 	worker->dead = true;
 	worker_drop_strays(worker);
-	drop_runs(s, worker, LOSS_OTHER_LIFE, now_ms);
+	drop_runs(s, worker, LOSS_OTHER_INCARNATION, now_ms);
 	crash_resolve(s, worker, LOSS_CONFIRMED, now_ms);
 }
 
@@ -266,8 +266,8 @@
 	int64_t deadline_ms;
 
 	deadline_ms = lease_renew(s, worker, now_ms);
-	worker->look_out = true;
-	worker->look_sent_ms = now_ms;
+	worker->poll_pending = true;
+	worker->poll_sent_ms = now_ms;
 	s->counts.polls++;
 	s->opt.actions->look(s, worker, deadline_ms, wait_ms, s->opt.ctx);
 }
@@ -303,16 +303,16 @@
 {
 	int64_t due_ms;
 
-	if (worker->look_out || worker->dead)
+	if (worker->poll_pending || worker->dead)
 		return;
-	due_ms = worker->look_at_ms;
+	due_ms = worker->next_poll_ms;
 	if (s->link_full && is_calm(worker) &&
-	    due_ms < worker->look_sent_ms + LOOK_CALM_MS)
-		due_ms = worker->look_sent_ms + LOOK_CALM_MS;
+	    due_ms < worker->poll_sent_ms + LOOK_CALM_MS)
+		due_ms = worker->poll_sent_ms + LOOK_CALM_MS;
 	/* It would answer at once with the ends that it has told. */
 	if (!STAILQ_EMPTY(&worker->ends) &&
-	    due_ms < worker->look_sent_ms + LOOK_UNSAVED_MS)
-		due_ms = worker->look_sent_ms + LOOK_UNSAVED_MS;
+	    due_ms < worker->poll_sent_ms + LOOK_UNSAVED_MS)
+		due_ms = worker->poll_sent_ms + LOOK_UNSAVED_MS;
 	if (now_ms < due_ms)
 		sched_due(s, due_ms);
 	else
@@ -320,12 +320,12 @@
 }
 
 void
-worker_missed(struct sched *s, struct sched_worker *worker, int64_t now_ms)
+worker_call_failed(struct sched *s, struct sched_worker *worker, int64_t now_ms)
 {
-	worker_touch(s, worker);
+	worker_schedule(s, worker);
 	if (worker->misses++ == 0)
 		worker->silent_ms = now_ms;
-	worker->look_at_ms = now_ms + LOOK_RETRY_MS * worker->misses;
+	worker->next_poll_ms = now_ms + LOOK_RETRY_MS * worker->misses;
 }
 
 static void
@@ -350,7 +350,7 @@
 static bool
 may_be_forgotten(const struct sched_worker *worker, int64_t now_ms)
 {
-	if (worker->listed || worker->look_out || !TAILQ_EMPTY(&worker->runs) ||
+	if (worker->listed || worker->poll_pending || !TAILQ_EMPTY(&worker->runs) ||
 	    !STAILQ_EMPTY(&worker->ends))
 		return false;
 	return worker->dead || worker->lapsed ||
@@ -401,16 +401,16 @@
  * than the events do.
  */
 void
-worker_steps(struct sched *s, int64_t now_ms)
+worker_run_due(struct sched *s, int64_t now_ms)
 {
 	struct sched_worker *worker;
 
 	if (s->any_saved) {
 		s->any_saved = false;
 		LIST_FOREACH (worker, &s->unsaved, unsaved_link)
-			worker_touch(s, worker);
+			worker_schedule(s, worker);
 	}
-	while ((worker = RB_MIN(sched_step_tree, &s->workers_by_due)) != NULL &&
+	while ((worker = RB_MIN(sched_due_tree, &s->workers_by_due)) != NULL &&
 	    worker->step_ms <= now_ms && !s->deposed)
 		step_one(s, worker, now_ms);
 	if (worker != NULL)
--- a/core/scheduler.h
+++ b/core/scheduler.h
@@ -62,7 +62,7 @@
 
 enum sched_run_state {
 	RUN_STARTING, /* ordered, not answered */
-	RUN_UNSURE, /* the order's answer is lost: it may start yet */
+	RUN_UNCONFIRMED, /* the order's answer is lost: it may start yet */
 	RUN_RUNNING,
 	RUN_STOPPING /* a stop was answered; its end isn't listed yet */
 };
@@ -77,21 +77,21 @@
 	enum sched_run_state state;
 	bool adopted; /* found at its worker, not started in this term */
 	bool stop_wanted;
-	bool stop_out; /* a stop is on its way */
+	bool stop_pending; /* a stop is on its way */
 	int64_t stop_at_ms; /* repeat the stop then */
 	int64_t listed_ms; /* when the worker last listed it as running */
-	int64_t figure_ms; /* when figure was last listed */
+	int64_t measurement_ms; /* when figure was last listed */
 	int64_t answered_ms; /* when the start or the stop was answered */
 	int64_t sent_ms; /* when the start was sent */
 	int64_t begun_ms; /* when it was first known to run */
 	int64_t deadline_worker_ms; /* the start refuses itself after it */
 	int percent; /* of its work, as last listed */
 	int64_t percent_ms; /* when percent last rose */
-	int figure; /* tail in ms of a serving task, else cpu in use */
+	int measurement; /* tail in ms of a serving task, else cpu in use */
 	int pace; /* share at which it may work, 0 to 100, or PACE_UNKNOWN */
-	bool pace_out;
+	bool pace_pending;
 	int64_t paced_ms; /* when the pace was last changed */
-	int64_t good_ms; /* serving: last listed below its target */
+	int64_t on_time_ms; /* serving: last listed below its target */
 	int64_t late_since_ms; /* serving: over its target since; 0: not */
 	int64_t sampled_ms; /* serving: its tail was last learnt from */
 };
@@ -123,7 +123,7 @@
 	struct task_loss *losses;
 	int64_t losses_ms; /* their run times */
 	uint64_t losses_change; /* of its job, with which they are saved */
-	int64_t lived_ms; /* those of other runs that are over, in this term */
+	int64_t survived_ms; /* those of other runs that are over, in this term */
 	uint32_t attempt; /* the highest used in this term */
 	uint32_t avoid; /* serial of the worker where it last failed */
 	uint32_t moves; /* off workers where it stood still, in this term */
@@ -138,7 +138,7 @@
 	struct sched_occurrence *occurrence;
 	const struct graph_step *spec;
 	int image; /* its number in struct press */
-	struct press_load load; /* of its tasks, if they serve */
+	struct load_estimate load; /* of its tasks, if they serve */
 	uint32_t number;
 	uint32_t ndone;
 	uint32_t nactive;
@@ -159,7 +159,7 @@
 /* When a job was stored, as to which leaders may have started tasks of it. */
 enum sched_origin {
 	ORIGIN_NEW, /* when no former leader acted any more: only this one */
-	ORIGIN_EARLY, /* in this term, in which the last one may have acted */
+	ORIGIN_OVERLAP, /* in this term, in which the last one may have acted */
 	ORIGIN_INHERITED /* before this term */
 };
 
@@ -227,12 +227,12 @@
 	int n;
 	int64_t target_ms; /* the lowest of theirs */
 	double load; /* the highest of their steps, without fillers */
-	double strain; /* fillers raise it by this share of it */
+	double filler_load; /* fillers raise it by this share of it */
 };
 
 /* What fillers of an image use of a worker, as a share of its processors. */
-#define SCHED_DOSES_MAX 16
-struct sched_dose {
+#define SCHED_FILLER_USAGE_MAX 16
+struct sched_filler_usage {
 	int filler;
 	double now;
 	double lately; /* while the last listed tails were measured */
@@ -250,9 +250,9 @@
 struct sched_worker {
 	RB_ENTRY(sched_worker) by_id;
 	RB_ENTRY(sched_worker)
-	by_step; /* in workers_by_due, unless it is in one */
+	by_due; /* in workers_by_due, unless it is in one */
 	LIST_ENTRY(sched_worker) unsaved_link; /* while ends isn't empty */
-	bool in_steps;
+	bool in_due_tree;
 	int64_t step_ms; /* its next step is due; 0: something happened */
 	char id[SCHED_WORKER_ID_MAX]; /* one life of a worker */
 	char service[GRAPH_NAME_MAX];
@@ -267,19 +267,19 @@
 	uint32_t serving; /* tasks with a tail target here */
 	struct sched_served served[SCHED_SERVED_MAX]; /* their images */
 	size_t nserved;
-	struct sched_dose doses[SCHED_DOSES_MAX];
-	size_t ndoses;
-	int64_t dosed_ms; /* when they were last brought up to date */
+	struct sched_filler_usage usages[SCHED_FILLER_USAGE_MAX];
+	size_t nusages;
+	int64_t usages_ms; /* when they were last brought up to date */
 	struct sched_runs runs;
 	struct sched_ends ends;
 	bool listed;
 	bool in_list; /* the caller's, while it reads the whole list */
 	unsigned int record_may; /* bits: as the store may have it */
 	enum worker_record record_wanted;
-	bool told_empty; /* the record names no tasks of it */
+	bool record_empty; /* the record names no tasks of it */
 	enum worker_record inherited; /* as earlier leaders left it */
-	struct task_name *left_tasks; /* by their word; NULL: anything */
-	size_t nleft_tasks;
+	struct task_name *inherited_tasks; /* by their word; NULL: anything */
+	size_t ninherited_tasks;
 	int64_t expires_ms; /* by their word; 0: not known */
 	bool draining;
 	int64_t leaves_ms; /* at the earliest, while it drains; 0: unknown */
@@ -288,9 +288,9 @@
 	bool lapsed; /* silent, and all that ran there has lapsed */
 	struct sched_strays strays; /* of the last look */
 	uint32_t unneeded; /* of these, without being needed */
-	bool look_out;
-	int64_t look_sent_ms;
-	int64_t look_at_ms; /* the next one */
+	bool poll_pending;
+	int64_t poll_sent_ms;
+	int64_t next_poll_ms; /* the next one */
 	uint32_t misses; /* calls without an answer in a row */
 	int64_t silent_ms; /* when the first of them was given up */
 	int64_t heard_ms; /* 0: never */
@@ -301,7 +301,7 @@
 	uint32_t failed_row; /* jobs that failed there since a success */
 	const struct sched_job *failed_job; /* the last; only compared */
 	int64_t probe_ms; /* not used before, then for one task at a time */
-	int64_t alone_until_ms; /* one that may crash it runs there alone */
+	int64_t isolated_until_ms; /* one that may crash it runs there alone */
 	double speed; /* measured over declared, 1 is sound */
 	int64_t paced_ms; /* when a pace here was last changed */
 	int64_t late_ms; /* when a serving task was last over its target */
@@ -309,18 +309,18 @@
 	double pressure; /* on the worst off, when last listed; 1: late */
 };
 RB_HEAD(sched_worker_tree, sched_worker);
-RB_HEAD(sched_step_tree, sched_worker);
+RB_HEAD(sched_due_tree, sched_worker);
 
 /* One row of a worker's list of what runs. */
-struct look_running {
+struct poll_running {
 	struct task_name task;
 	uint32_t attempt;
 	const char *checkpoint;
 	int percent;
-	int figure;
+	int measurement;
 };
 
-enum look_end {
+enum run_end {
 	END_DONE,
 	END_FAILED,
 	END_STOPPED,
@@ -329,19 +329,19 @@
 	END_ALONE
 };
 
-struct look_finished {
+struct poll_finished {
 	uint64_t number;
 	struct task_name task;
 	uint32_t attempt;
-	enum look_end how;
+	enum run_end how;
 	const char *checkpoint;
 };
 
-struct look_result {
+struct poll_result {
 	int64_t clock_ms;
-	const struct look_running *running;
+	const struct poll_running *running;
 	size_t nrunning;
-	const struct look_finished *finished;
+	const struct poll_finished *finished;
 	size_t nfinished;
 };
 
@@ -354,13 +354,13 @@
 	ANSWER_LATE, /* the order's deadline had passed */
 	ANSWER_NO_ROOM,
 	ANSWER_UNHEALTHY, /* it did nothing */
-	ANSWER_OTHER_LIFE, /* another life of a worker answers there */
+	ANSWER_OTHER_INCARNATION, /* another life of a worker answers there */
 	ANSWER_REFUSED /* called bad: nothing was done */
 };
 
 /* How it is known that a worker's life is over, and all that ran there. */
 enum sched_loss {
-	LOSS_OTHER_LIFE, /* another life answers at its address */
+	LOSS_OTHER_INCARNATION, /* another life answers at its address */
 	LOSS_LAPSED, /* silent until all leases there had surely lapsed */
 	LOSS_CONFIRMED, /* lapsed, and another life has come to its address */
 	LOSS_REFUTED /* lapsed, and it answers again */
@@ -437,7 +437,7 @@
 	uint64_t stops;
 	uint64_t paces;
 	uint64_t moves; /* of tasks that last, off workers that leave */
-	uint64_t stills; /* runs found without progress */
+	uint64_t stalled; /* runs found without progress */
 	uint64_t given_up; /* jobs, for crashes of workers */
 };
 
@@ -465,7 +465,7 @@
 	struct sched_jobs dirty;
 	struct sched_jobs ending; /* ended, their tasks still held */
 	struct sched_worker_tree workers;
-	struct sched_step_tree
+	struct sched_due_tree
 	    workers_by_due; /* the same by when they are due */
 	LIST_HEAD(, sched_worker) unsaved; /* with ends to acknowledge */
 	bool any_saved; /* since the last step */
@@ -480,25 +480,25 @@
 	bool most_silent; /* it is our link: the workers are left in use */
 	bool place_wanted;
 	int64_t place_ms; /* not again before, unless wanted */
-	int64_t place_gap_ms; /* not again before in any case */
-	int64_t leave_ms; /* nothing is moved off workers that leave before */
+	int64_t place_min_ms; /* not again before in any case */
+	int64_t drain_pass_ms; /* nothing is moved off workers that leave before */
 	bool deposed;
 	/* Of workers that earlier leaders used and that haven't answered: */
 	uint64_t unsettled; /* which they are: a sum of hashes; 0: none */
-	bool any_left; /* any task may run on one */
-	bool former_left; /* the last leader may start tasks on one */
+	bool any_task_inherited; /* any task may run on one */
+	bool former_leader_active; /* the last leader may start tasks on one */
 	bool record_lost; /* which they are isn't known */
 	uint64_t *inherited_hashes; /* hashes of the tasks that may run there,
 				       sorted */
 	size_t ninherited_hashes;
 	int64_t next_ms; /* when sched_act() is due at the latest */
 	uint64_t random;
-	struct press *press;
+	struct interference *interference;
 	double serving_use; /* learnt: share of its claim a serving task uses */
 	double batch_use; /* the same of all others */
 	struct blame_rate crash_rate; /* of workers */
-	LIST_HEAD(, sched_lost_incarnation) lost_lives; /* of which it isn't sure */
-	int64_t use_fell_ms; /* when serving_use last fell by itself */
+	LIST_HEAD(, sched_lost_incarnation) lost_incarnations; /* of which it isn't sure */
+	int64_t use_decayed_ms; /* when serving_use last fell by itself */
 	struct sched_counts counts;
 };
 
@@ -594,13 +594,13 @@
     const struct task_name *, uint32_t attempt, enum worker_answer,
     int64_t clock_ms, int64_t now_ms);
 void sched_poll_answered(struct sched *, struct sched_worker *,
-    enum worker_answer, const struct look_result *, int64_t now_ms);
+    enum worker_answer, const struct poll_result *, int64_t now_ms);
 /*
  * Ends from an answer that came too late to be one.  What it says of running
  * tasks may be outdated; an end stays true.
  */
 void sched_late_ends_reported(struct sched *, struct sched_worker *,
-    const struct look_result *, int64_t now_ms);
+    const struct poll_result *, int64_t now_ms);
 void sched_pace_answered(struct sched *, struct sched_worker *,
     const struct task_name *, uint32_t attempt, enum worker_answer,
     int64_t now_ms);
--- a/entry/carry.h
+++ b/entry/carry.h
@@ -18,7 +18,7 @@
 
 /* Ends that a worker told in an answer to a look that was given up on. */
 typedef void carry_late(
-    const char *worker, const struct look_result *, void *ctx);
+    const char *worker, const struct poll_result *, void *ctx);
 
 /* NULL: no memory. */
 struct carry *carry_open(struct node *, carry_late *, void *ctx);
--- a/entry/carryread.c
+++ b/entry/carryread.c
@@ -109,7 +109,7 @@
 /* A row that the base has, with what is new of it. */
 static void
 get_known(struct reading *g, struct wire_reader *r,
-    const struct kept_list *base, struct look_running *row)
+    const struct kept_list *base, struct poll_running *row)
 {
 	uint64_t place;
 	bool moved;
@@ -122,14 +122,14 @@
 	}
 	*row = base->rows[place];
 	row->percent = (int)wire_uint(r, 100);
-	row->figure = (int)wire_uint(r, INT32_MAX);
+	row->measurement = (int)wire_uint(r, INT32_MAX);
 	if (moved)
 		row->checkpoint = get_text(g, r, CHECKPOINT_MAX);
 }
 
 static void
 get_running(struct reading *g, struct wire_reader *r,
-    const struct kept_list *base, struct look_running *row)
+    const struct kept_list *base, struct poll_running *row)
 {
 	if (r->left < RUNNING_ITEMS) {
 		get_known(g, r, base, row);
@@ -138,25 +138,25 @@
 	get_task(r, &row->task, &row->attempt);
 	row->checkpoint = get_text(g, r, CHECKPOINT_MAX);
 	row->percent = (int)wire_uint(r, 100);
-	row->figure = (int)wire_uint(r, INT32_MAX);
+	row->measurement = (int)wire_uint(r, INT32_MAX);
 }
 
 static void
 get_finished(
-    struct reading *g, struct wire_reader *r, struct look_finished *row)
+    struct reading *g, struct wire_reader *r, struct poll_finished *row)
 {
 	row->number = wire_uint(r, UINT64_MAX);
 	get_task(r, &row->task, &row->attempt);
-	row->how = (enum look_end)wire_uint(r, END_ALONE);
+	row->how = (enum run_end)wire_uint(r, END_ALONE);
 	row->checkpoint = get_text(g, r, CHECKPOINT_MAX);
 }
 
 /* The list of running tasks, to be freed; NULL: no memory. */
-static struct look_running *
+static struct poll_running *
 get_all_running(struct reading *g, struct wire_reader *r,
     const struct kept_list *base, size_t *n)
 {
-	struct look_running *rows;
+	struct poll_running *rows;
 	struct wire_reader list, one;
 
 	list = wire_array(r, ITEMS_MAX);
@@ -170,10 +170,10 @@
 	return rows;
 }
 
-static struct look_finished *
+static struct poll_finished *
 get_all_finished(struct reading *g, struct wire_reader *r, size_t *n)
 {
-	struct look_finished *rows;
+	struct poll_finished *rows;
 	struct wire_reader list, one;
 
 	list = wire_array(r, ITEMS_MAX);
@@ -192,7 +192,7 @@
  * list may be made up: tasks that run would be taken for gone.  So the answer
  * counts as lost, but for the ends, which stay true.
  */
-static struct look_running *
+static struct poll_running *
 get_running_or_lose(struct reading *g, struct wire_reader *r,
     struct carry_answer *answer, size_t *n)
 {
@@ -206,16 +206,16 @@
 		return get_all_running(g, r, base, n);
 	wire_next(r, MSGPACK_OBJECT_ARRAY);
 	answer->answer = ANSWER_LOST;
-	return calloc(1, sizeof(struct look_running));
+	return calloc(1, sizeof(struct poll_running));
 }
 
 static void
 get_look_answer(
     struct reading *g, struct wire_reader *r, struct carry_answer *answer)
 {
-	struct look_finished *finished;
-	struct look_running *running;
-	struct look_result look;
+	struct poll_finished *finished;
+	struct poll_running *running;
+	struct poll_result look;
 
 	memset(&look, 0, sizeof(look));
 	look.clock_ms = answer->clock_ms;
--- a/entry/carrywire.c
+++ b/entry/carrywire.c
@@ -140,7 +140,7 @@
 }
 
 static bool
-same_run(const struct look_running *a, const struct look_running *b)
+same_run(const struct poll_running *a, const struct poll_running *b)
 {
 	return a->attempt == b->attempt && a->task.index == b->task.index &&
 	    a->task.step == b->task.step &&
@@ -150,7 +150,7 @@
 
 /* The row's place in the base; its n: it is new.  They keep their order. */
 static size_t
-place_of(const struct kept_list *base, const struct look_running *row,
+place_of(const struct kept_list *base, const struct poll_running *row,
     size_t expected)
 {
 	size_t i;
@@ -165,8 +165,8 @@
 }
 
 static void
-put_known(msgpack_packer *pk, const struct look_running *row,
-    const struct look_running *before, size_t place)
+put_known(msgpack_packer *pk, const struct poll_running *row,
+    const struct poll_running *before, size_t place)
 {
 	bool moved;
 
@@ -174,23 +174,23 @@
 	msgpack_pack_array(pk, moved ? MOVED_ITEMS : KNOWN_ITEMS);
 	msgpack_pack_uint64(pk, place);
 	put_number(pk, row->percent);
-	put_number(pk, row->figure);
+	put_number(pk, row->measurement);
 	if (moved)
 		wire_put_str(pk, row->checkpoint);
 }
 
 static void
-put_running(msgpack_packer *pk, const struct look_running *row)
+put_running(msgpack_packer *pk, const struct poll_running *row)
 {
 	msgpack_pack_array(pk, RUNNING_ITEMS);
 	put_task(pk, &row->task, row->attempt);
 	wire_put_str(pk, row->checkpoint);
 	put_number(pk, row->percent);
-	put_number(pk, row->figure);
+	put_number(pk, row->measurement);
 }
 
 static void
-put_all_running(msgpack_packer *pk, const struct look_result *look,
+put_all_running(msgpack_packer *pk, const struct poll_result *look,
     const struct kept_list *base)
 {
 	size_t i, place;
@@ -211,7 +211,7 @@
 }
 
 static void
-put_finished(msgpack_packer *pk, const struct look_finished *row)
+put_finished(msgpack_packer *pk, const struct poll_finished *row)
 {
 	msgpack_pack_array(pk, FINISHED_ITEMS);
 	msgpack_pack_uint64(pk, row->number);
@@ -224,7 +224,7 @@
 carry_write_answer(struct carry_writer *w, const struct carry_answer *answer,
     const struct kept_list *base)
 {
-	const struct look_result *look;
+	const struct poll_result *look;
 	msgpack_packer pk;
 	size_t i;
 
--- a/entry/carrywire.h
+++ b/entry/carrywire.h
@@ -56,7 +56,7 @@
 	enum worker_answer answer;
 	int64_t clock_ms; /* the worker's; 0: not told */
 	const char *worker; /* of a look that succeeded; else NULL */
-	const struct look_result *look; /* the same; only ends if it is lost */
+	const struct poll_result *look; /* the same; only ends if it is lost */
 	uint64_t base; /* read: rows that didn't change are its; 0: all told */
 };
 
--- a/entry/keptlist.c
+++ b/entry/keptlist.c
@@ -77,7 +77,7 @@
 
 /* The rows with checkpoints of their own; false: no memory. */
 static bool
-copy_rows(struct kept_list *list, const struct look_running *rows, size_t n)
+copy_rows(struct kept_list *list, const struct poll_running *rows, size_t n)
 {
 	size_t i, len, size;
 	char *at;
@@ -103,7 +103,7 @@
 
 void
 kept_set(struct kept_lists *lists, const char *worker, uint64_t number,
-    const struct look_running *rows, size_t n, int64_t now_ms)
+    const struct poll_running *rows, size_t n, int64_t now_ms)
 {
 	struct kept_list *list, *before;
 
--- a/entry/keptlist.h
+++ b/entry/keptlist.h
@@ -16,7 +16,7 @@
 	char worker[SCHED_WORKER_ID_MAX];
 	uint64_t number; /* of the look */
 	int64_t used_ms;
-	struct look_running *rows;
+	struct poll_running *rows;
 	size_t n;
 	char *texts; /* of the rows' checkpoints */
 };
@@ -31,7 +31,7 @@
 uint64_t kept_number(struct kept_lists *, const char *worker);
 /* The rows are copied.  Without memory none is kept. */
 void kept_set(struct kept_lists *, const char *worker, uint64_t number,
-    const struct look_running *, size_t n, int64_t now_ms);
+    const struct poll_running *, size_t n, int64_t now_ms);
 void kept_drop(struct kept_lists *, const char *worker);
 /* Forget lists of workers that weren't asked for long. */
 void kept_expire(struct kept_lists *, int64_t now_ms);
--- a/entry/lead.c
+++ b/entry/lead.c
@@ -87,7 +87,7 @@
 	json_t *pairs;
 
 	pairs = json_array();
-	press_each(l->sched->press, add_pair, pairs);
+	interference_foreach(l->sched->interference, add_pair, pairs);
 	return pairs;
 }
 
@@ -107,7 +107,7 @@
 		serving = json_string_value(json_array_get(row, 0));
 		filler = json_string_value(json_array_get(row, 1));
 		if (serving != NULL && filler != NULL)
-			press_set(l->sched->press, serving, filler,
+			interference_set_effect(l->sched->interference, serving, filler,
 			    json_number_value(json_array_get(row, 2)));
 	}
 }
@@ -354,7 +354,7 @@
 	    load.paced, l->sched->serving_use,
 	    (unsigned long long)l->sched->counts.starts,
 	    (unsigned long long)l->sched->counts.polls,
-	    (unsigned long long)l->sched->counts.stills,
+	    (unsigned long long)l->sched->counts.stalled,
 	    (unsigned long long)l->sched->counts.moves);
 }
 
@@ -513,7 +513,7 @@
 	return l->settled_revision != 0 &&
 		stored->revision > l->settled_revision ?
 	    ORIGIN_NEW :
-	    ORIGIN_EARLY;
+	    ORIGIN_OVERLAP;
 }
 
 struct sched_job *
--- a/entry/lead_calls.c
+++ b/entry/lead_calls.c
@@ -225,7 +225,7 @@
 }
 
 void
-lead_late_ends(const char *id, const struct look_result *look, void *ctx)
+lead_late_ends(const char *id, const struct poll_result *look, void *ctx)
 {
 	struct sched_worker *worker;
 	struct lead *l;
@@ -269,7 +269,7 @@
 loss_name(enum sched_loss cause)
 {
 	switch (cause) {
-	case LOSS_OTHER_LIFE:
+	case LOSS_OTHER_INCARNATION:
 		return "other_life";
 	case LOSS_LAPSED:
 		return "lapsed";
@@ -289,7 +289,7 @@
 		return "none";
 	case BLAME_SUSPECT:
 		return "suspect";
-	case BLAME_GUILTY:
+	case BLAME_CERTAIN:
 		return "guilty";
 	}
 	return "unknown";
--- a/entry/lead_int.h
+++ b/entry/lead_int.h
@@ -168,7 +168,7 @@
 
 /* lead_calls.c */
 extern const struct sched_actions lead_sched_actions;
-void lead_late_ends(const char *id, const struct look_result *, void *ctx);
+void lead_late_ends(const char *id, const struct poll_result *, void *ctx);
 
 /* lead_fleet.c */
 void fleet_worker(struct lead *, const char *key, const char *value, size_t len,
--- a/entry/node_int.h
+++ b/entry/node_int.h
@@ -204,7 +204,7 @@
 json_t *lead_pending(struct lead *);
 /* Queues that take no new jobs that last; see sched_measure_headroom(). */
 json_t *lead_full(struct lead *);
-/* What was learnt of fillers, for a next leader; see press_each(). */
+/* What was learnt of fillers, for a next leader; see interference_foreach(). */
 json_t *lead_learnt(struct lead *);
 typedef void lead_answered(
     const struct node_reply *, uint64_t number, const char *from, void *ctx);
--- a/entry/seam.h
+++ b/entry/seam.h
@@ -106,7 +106,7 @@
 struct worker_result {
 	enum worker_answer answer;
 	int64_t clock_ms; /* the worker's; 0: not told */
-	const struct look_result *look; /* of a look that succeeded */
+	const struct poll_result *look; /* of a look that succeeded */
 };
 typedef void worker_done(const struct worker_result *, void *ctx);
 
--- a/tests/handover_fixture.h
+++ b/tests/handover_fixture.h
@@ -565,9 +565,9 @@
 		At(kWay, [=, this] {
 			Worker &worker = workers[id];
 			struct worker_result result;
-			struct look_result list;
-			std::vector<struct look_running> running;
-			std::vector<struct look_finished> finished;
+			struct poll_result list;
+			std::vector<struct poll_running> running;
+			std::vector<struct poll_finished> finished;
 
 			memset(&result, 0, sizeof(result));
 			memset(&list, 0, sizeof(list));
@@ -585,7 +585,7 @@
 				act(worker);
 			}
 			for (auto &[name, run] : worker.runs) {
-				struct look_running row;
+				struct poll_running row;
 				memset(&row, 0, sizeof(row));
 				ReadName(name, &row.task);
 				row.attempt = run.attempt;
@@ -596,7 +596,7 @@
 			list.running = running.data();
 			list.nrunning = running.size();
 			for (auto &end : worker.ends) {
-				struct look_finished row;
+				struct poll_finished row;
 				memset(&row, 0, sizeof(row));
 				row.number = end.number;
 				ReadName(end.name, &row.task);
--- a/tests/sched_fixture.h
+++ b/tests/sched_fixture.h
@@ -111,10 +111,10 @@
 	// The worker answers a look with these lists.
 	void
 	Answer(struct sched_worker *w,
-	    const std::vector<look_running> &running = {},
-	    const std::vector<look_finished> &finished = {})
+	    const std::vector<poll_running> &running = {},
+	    const std::vector<poll_finished> &finished = {})
 	{
-		struct look_result result = { now, running.data(),
+		struct poll_result result = { now, running.data(),
 			running.size(), finished.data(), finished.size() };
 
 		sched_poll_answered(s, w, ANSWER_OK, &result, now);
@@ -161,18 +161,18 @@
 	}
 
 	// What was started, as a worker lists it.
-	std::vector<look_running>
+	std::vector<poll_running>
 	AtWork() const
 	{
-		std::vector<look_running> rows;
+		std::vector<poll_running> rows;
 
 		for (auto &o : started)
 			rows.push_back({ o.task, o.attempt, "", 100, 0 });
 		return rows;
 	}
 
-	static look_finished
-	End(uint64_t number, const Order &o, enum look_end how)
+	static poll_finished
+	End(uint64_t number, const Order &o, enum run_end how)
 	{
 		return { number, o.task, o.attempt, how, "" };
 	}
@@ -287,7 +287,7 @@
 	struct Ended {
 		uint64_t number;
 		Order order;
-		enum look_end how;
+		enum run_end how;
 	};
 	struct Machine {
 		bool reachable = true;
@@ -379,7 +379,7 @@
 	}
 
 	void
-	EndRun(Machine &m, size_t i, enum look_end how)
+	EndRun(Machine &m, size_t i, enum run_end how)
 	{
 		m.ended.push_back({ ++m.last_end, m.running[i].order, how });
 		m.running.erase(m.running.begin() + static_cast<long>(i));
@@ -473,15 +473,15 @@
 	AnswerLook(const std::string &id)
 	{
 		struct sched_worker *w = sched_worker_find(s, id.c_str());
-		std::vector<look_running> rows;
-		std::vector<look_finished> ends;
+		std::vector<poll_running> rows;
+		std::vector<poll_finished> ends;
 		Machine &m = at[id];
 
 		if (w == nullptr)
 			return;
 		if (m.gone || !m.reachable) {
 			sched_poll_answered(s, w,
-			    m.gone ? ANSWER_OTHER_LIFE : ANSWER_LOST, nullptr,
+			    m.gone ? ANSWER_OTHER_INCARNATION : ANSWER_LOST, nullptr,
 			    now);
 			return;
 		}
--- a/tests/sched_world.cc
+++ b/tests/sched_world.cc
@@ -228,7 +228,7 @@
 	return leader->settled_revision != 0 &&
 		jobs_.at(id).revision > leader->settled_revision ?
 	    ORIGIN_NEW :
-	    ORIGIN_EARLY;
+	    ORIGIN_OVERLAP;
 }
 
 void
@@ -507,10 +507,10 @@
 				worker->ends.erase(worker->ends.begin());
 			}
 		}
-		auto runs = std::make_shared<std::vector<look_running>>();
-		auto ends = std::make_shared<std::vector<look_finished>>();
+		auto runs = std::make_shared<std::vector<poll_running>>();
+		auto ends = std::make_shared<std::vector<poll_finished>>();
 		for (auto &[name, run] : worker->runs) {
-			struct look_running row;
+			struct poll_running row;
 			memset(&row, 0, sizeof(row));
 			size_t dot = name.find('.');
 			strlcpy(row.task.job, name.substr(0, dot).c_str(),
@@ -534,7 +534,7 @@
 			*answered = true;
 			struct sched_worker *known =
 			    sched_worker_find(leader->sched, id.c_str());
-			struct look_result result = { clock, runs->data(),
+			struct poll_result result = { clock, runs->data(),
 				runs->size(), ends->data(), ends->size() };
 			if (known != nullptr)
 				sched_poll_answered(leader->sched, known,
@@ -718,7 +718,7 @@
 }
 
 void
-World::EndRun(Worker &worker, const std::string &name, enum look_end how)
+World::EndRun(Worker &worker, const std::string &name, enum run_end how)
 {
 	End end;
 
--- a/tests/sched_world.h
+++ b/tests/sched_world.h
@@ -68,7 +68,7 @@
 	uint64_t number;
 	struct task_name task;
 	uint32_t attempt;
-	enum look_end how;
+	enum run_end how;
 };
 
 struct Worker {
@@ -167,7 +167,7 @@
 	void Close(Leader *);
 	void Tick();
 	void TickWorker(Worker &);
-	void EndRun(Worker &, const std::string &name, enum look_end how);
+	void EndRun(Worker &, const std::string &name, enum run_end how);
 	Worker *Find(const std::string &id);
 	void Crash();
 	void Shrink();
--- a/tests/test_blame.cc
+++ b/tests/test_blame.cc
@@ -12,9 +12,9 @@
 	double due = 0;
 
 	for (int i = 0; i <= seconds; i++) {
-		blame_watch(&rate, 50, 1000 + 1000 * i);
+		blame_update_rate(&rate, 50, 1000 + 1000 * i);
 		for (due += crashes_per_s; due >= 1; due--)
-			blame_crashed(&rate);
+			blame_add_crash(&rate);
 	}
 	return rate;
 }
@@ -23,23 +23,23 @@
 {
 	struct blame_rate rate = Watched(60, 0);
 
-	EXPECT_EQ(BLAME_NONE, blame_judge(&rate, 0, 0));
+	EXPECT_EQ(BLAME_NONE, blame_assess(&rate, 0, 0));
 }
 
 TEST(Blame, OneCrashProvesNothing)
 {
 	struct blame_rate rate = Watched(600, 0);
 
-	EXPECT_EQ(BLAME_SUSPECT, blame_judge(&rate, 1, 50));
+	EXPECT_EQ(BLAME_SUSPECT, blame_assess(&rate, 1, 50));
 }
 
 TEST(Blame, CrashesSoonAfterStartsAreTheTasks)
 {
 	struct blame_rate quiet = Watched(60, 0.01), bad = Watched(60, 1);
 
-	EXPECT_EQ(BLAME_GUILTY, blame_judge(&quiet, 2, 100));
-	EXPECT_EQ(BLAME_GUILTY, blame_judge(&bad, 3, 150));
-	EXPECT_EQ(BLAME_GUILTY, blame_judge(&bad, 5, 5 * 1400));
+	EXPECT_EQ(BLAME_CERTAIN, blame_assess(&quiet, 2, 100));
+	EXPECT_EQ(BLAME_CERTAIN, blame_assess(&bad, 3, 150));
+	EXPECT_EQ(BLAME_CERTAIN, blame_assess(&bad, 5, 5 * 1400));
 }
 
 TEST(Blame, CrashesOfABadDayAreNobodys)
@@ -47,10 +47,10 @@
 	struct blame_rate bad = Watched(60, 1);
 
 	// 50 workers, one crash a second: each runs for 50 s between two.
-	EXPECT_EQ(BLAME_NONE, blame_judge(&bad, 1, 50000));
-	EXPECT_EQ(BLAME_NONE, blame_judge(&bad, 5, 250000));
-	EXPECT_EQ(BLAME_NONE, blame_judge(&bad, 8, 200000));
-	EXPECT_NE(BLAME_GUILTY, blame_judge(&bad, 2, 1600));
+	EXPECT_EQ(BLAME_NONE, blame_assess(&bad, 1, 50000));
+	EXPECT_EQ(BLAME_NONE, blame_assess(&bad, 5, 250000));
+	EXPECT_EQ(BLAME_NONE, blame_assess(&bad, 8, 200000));
+	EXPECT_NE(BLAME_CERTAIN, blame_assess(&bad, 2, 1600));
 }
 
 TEST(Blame, ItsOwnCrashesDontSpeakForATask)
@@ -58,27 +58,27 @@
 	struct blame_rate rate = Watched(60, 0);
 
 	for (int i = 0; i < 3; i++)
-		blame_crashed(&rate);
-	EXPECT_EQ(BLAME_GUILTY, blame_judge(&rate, 3, 3000));
+		blame_add_crash(&rate);
+	EXPECT_EQ(BLAME_CERTAIN, blame_assess(&rate, 3, 3000));
 }
 
 TEST(Blame, TheRateIsThatOfLate)
 {
 	struct blame_rate rate = Watched(60, 5);
 
-	EXPECT_NE(BLAME_GUILTY, blame_judge(&rate, 2, 1000));
+	EXPECT_NE(BLAME_CERTAIN, blame_assess(&rate, 2, 1000));
 	for (int i = 1; i <= 300; i++)
-		blame_watch(&rate, 50, 61000 + 1000 * i);
-	EXPECT_EQ(BLAME_GUILTY, blame_judge(&rate, 2, 1000));
+		blame_update_rate(&rate, 50, 61000 + 1000 * i);
+	EXPECT_EQ(BLAME_CERTAIN, blame_assess(&rate, 2, 1000));
 }
 
 TEST(Blame, WhatWasNoCrashIsTakenBack)
 {
 	struct blame_rate rate = Watched(60, 0), before = rate;
 
-	blame_crashed(&rate);
-	blame_withdraw(&rate);
+	blame_add_crash(&rate);
+	blame_remove_crash(&rate);
 	EXPECT_EQ(before.crashes, rate.crashes);
-	blame_withdraw(&rate);
+	blame_remove_crash(&rate);
 	EXPECT_EQ(0, rate.crashes);
 }
--- a/tests/test_carry.cc
+++ b/tests/test_carry.cc
@@ -22,7 +22,7 @@
 }
 
 void
-OnLate(const char *, const struct look_result *, void *)
+OnLate(const char *, const struct poll_result *, void *)
 {
 }
 
--- a/tests/test_carrywire.cc
+++ b/tests/test_carrywire.cc
@@ -28,9 +28,9 @@
 struct Answer {
 	struct carry_answer answer;
 	std::string worker;
-	std::vector<struct look_running> running;
+	std::vector<struct poll_running> running;
 	std::vector<std::string> checkpoints;
-	std::vector<struct look_finished> finished;
+	std::vector<struct poll_finished> finished;
 };
 
 // Both ends of a connection, and the lists that they keep of workers.
@@ -74,7 +74,7 @@
 
 		got.answer = *answer;
 		if (answer->look != nullptr) {
-			const struct look_result *look = answer->look;
+			const struct poll_result *look = answer->look;
 			got.worker = answer->worker;
 			got.running.assign(
 			    look->running, look->running + look->nrunning);
@@ -97,10 +97,10 @@
 		    &static_cast<CarryWire *>(ctx)->leader, worker, number);
 	}
 
-	static struct look_running
-	Row(uint32_t index, const char *checkpoint, int percent, int figure)
+	static struct poll_running
+	Row(uint32_t index, const char *checkpoint, int percent, int measurement)
 	{
-		struct look_running row;
+		struct poll_running row;
 
 		memset(&row, 0, sizeof(row));
 		strlcpy(row.task.job, "5c0e7a21d94b36f8", sizeof(row.task.job));
@@ -109,17 +109,17 @@
 		row.attempt = 7169;
 		row.checkpoint = checkpoint;
 		row.percent = percent;
-		row.figure = figure;
+		row.measurement = measurement;
 		return row;
 	}
 
 	// The member writes the answer to a look whose order named that base.
 	void
 	WriteLook(uint64_t number, uint64_t base,
-	    const std::vector<struct look_running> &rows,
-	    const std::vector<struct look_finished> &ends = {})
+	    const std::vector<struct poll_running> &rows,
+	    const std::vector<struct poll_finished> &ends = {})
 	{
-		struct look_result look = { 100, rows.data(), rows.size(),
+		struct poll_result look = { 100, rows.data(), rows.size(),
 			ends.data(), ends.size() };
 		struct carry_answer answer;
 
@@ -212,7 +212,7 @@
 // progress, tails, checkpoints, tasks that came and went.
 TEST_F(CarryWire, RowsThatAreKnownTakeFewBytes)
 {
-	std::vector<struct look_running> rows;
+	std::vector<struct poll_running> rows;
 
 	for (uint32_t i = 0; i < 8; i++)
 		rows.push_back(Row(i, "00000bb87a21d94b", 10, 3000));
@@ -267,7 +267,7 @@
 // can't be known, and count as not told; its ends do.
 TEST_F(CarryWire, WithoutTheBaseOnlyTheEndsCount)
 {
-	struct look_finished end;
+	struct poll_finished end;
 
 	memset(&end, 0, sizeof(end));
 	end.number = 58;
--- a/tests/test_press.cc
+++ b/tests/test_press.cc
@@ -17,7 +17,7 @@
 // Serving tasks whose load swings, each with a phase of its own, beside
 // fillers that come and go.  Tails are listed each half second, with noise.
 struct Worker {
-	struct press_load load = {};
+	struct load_estimate load = {};
 	double phase;
 	double bad = 0, good = 0; // shares of the worker
 
@@ -35,7 +35,7 @@
 };
 
 struct World {
-	struct press *press = press_new();
+	struct interference *interference = interference_new();
 	std::mt19937 random;
 	int web, bad, good;
 	std::vector<Worker> workers;
@@ -43,16 +43,16 @@
 
 	explicit World(unsigned seed, size_t n = 20) : random(seed), workers(n)
 	{
-		web = press_image(press, "web");
-		bad = press_image(press, "bad");
-		good = press_image(press, "good");
+		web = interference_image(interference, "web");
+		bad = interference_image(interference, "bad");
+		good = interference_image(interference, "good");
 		for (auto &w : workers)
 			w.phase =
 			    std::uniform_real_distribution<>(0, 6)(random);
 	}
 	~World()
 	{
-		press_free(press);
+		interference_free(interference);
 	}
 	// One list of each worker; fillers change on a part of the workers.
 	void
@@ -63,11 +63,11 @@
 
 		now_ms += 500;
 		for (auto &w : workers) {
-			struct press_dose doses[2] = { { bad, w.bad },
+			struct filler_usage usages[2] = { { bad, w.bad },
 				{ good, w.good } };
 			double load = std::min(0.97, w.Strained(now_ms));
 
-			press_learn(press, web, &w.load, doses, 2,
+			interference_update(interference, web, &w.load, usages, 2,
 			    kShortestMs / (1 - load) * rough(random), kTargetMs,
 			    now_ms);
 			if (any(random) > 0.3)
@@ -79,12 +79,12 @@
 	double
 	Bad() const
 	{
-		return press_effect(press, web, bad);
+		return interference_effect(interference, web, bad);
 	}
 	double
 	Good() const
 	{
-		return press_effect(press, web, good);
+		return interference_effect(interference, web, good);
 	}
 };
 
@@ -152,7 +152,7 @@
 		world.Step(0.3, 0.5);
 		for (auto &w : world.workers) {
 			sum += std::abs(
-			    press_load_of(&w.load) - w.True(world.now_ms));
+			    load_estimate_value(&w.load) - w.True(world.now_ms));
 			n++;
 		}
 	}
@@ -165,10 +165,10 @@
 // ones let in.  With one for all, the tasks that have other company tell.
 TEST(Press, OneLoadForAllTasksOfAStep)
 {
-	struct press *p = press_new();
-	struct press_load load = {};
-	int web = press_image(p, "web"), bad = press_image(p, "bad");
-	int good = press_image(p, "good");
+	struct interference *p = interference_new();
+	struct load_estimate load = {};
+	int web = interference_image(p, "web"), bad = interference_image(p, "bad");
+	int good = interference_image(p, "good");
 	std::mt19937 random(3);
 	std::normal_distribution<> rough(1, 0.05);
 	double off = 0;
@@ -176,69 +176,69 @@
 
 	for (int64_t now_ms = 1000; now_ms < 7000; now_ms += 40) {
 		int task = (int)(now_ms / 40 % 6);
-		struct press_dose doses[2] = { { bad, task == 0 ? 0.1 : 0 },
+		struct filler_usage usages[2] = { { bad, task == 0 ? 0.1 : 0 },
 			{ good, task < 4 ? 0.2 : 0 } };
 		double users = 0.45 * (1 + 0.5 * sin(now_ms / 2200.0));
 		double strained = users *
-		    (1 + kBadEffect * doses[0].share +
-			kGoodEffect * doses[1].share);
+		    (1 + kBadEffect * usages[0].share +
+			kGoodEffect * usages[1].share);
 
-		press_learn(p, web, &load, doses, 2,
+		interference_update(p, web, &load, usages, 2,
 		    kShortestMs / (1 - strained) * rough(random), kTargetMs,
 		    now_ms);
 		if (now_ms < 3000)
 			continue;
-		off += std::abs(press_load_of(&load) - users);
+		off += std::abs(load_estimate_value(&load) - users);
 		n++;
 	}
 	EXPECT_LT(off / n, 0.06);
-	EXPECT_NEAR(press_effect(p, web, bad), kBadEffect, 1);
-	EXPECT_LT(press_effect(p, web, good), 0.6);
-	press_free(p);
+	EXPECT_NEAR(interference_effect(p, web, bad), kBadEffect, 1);
+	EXPECT_LT(interference_effect(p, web, good), 0.6);
+	interference_free(p);
 }
 
 // One listed tail in thirty is far off.  The least ever seen is no measure of
 // the shortest: with it every load and effect comes out wrong from then on.
 TEST(Press, OneShortTailIsNotTheShortest)
 {
-	struct press *p = press_new();
-	struct press_load load = {};
-	int web = press_image(p, "web");
+	struct interference *p = interference_new();
+	struct load_estimate load = {};
+	int web = interference_image(p, "web");
 
 	for (int i = 0; i < 600; i++)
-		press_learn(p, web, &load, nullptr, 0,
+		interference_update(p, web, &load, nullptr, 0,
 		    i % 60 == 0 ? 5 : 13 + i % 20, kTargetMs, 1000 + 40 * i);
 	// A load of 0.2 is taken for the least: 0.8 of 13 ms is no load.
-	EXPECT_NEAR(press_limit(p, web, kTargetMs), 1 - 0.8 * 13 / 50, 0.04);
-	press_free(p);
+	EXPECT_NEAR(interference_load_limit(p, web, kTargetMs), 1 - 0.8 * 13 / 50, 0.04);
+	interference_free(p);
 }
 
 TEST(Press, NothingIsKnownAtFirst)
 {
 	World world(1);
-	struct press_load none = {};
+	struct load_estimate none = {};
 
 	EXPECT_DOUBLE_EQ(world.Bad(), 1);
-	EXPECT_GT(press_load_of(&none), 0.3);
-	EXPECT_DOUBLE_EQ(press_limit(world.press, world.web, kTargetMs), 0.8);
+	EXPECT_GT(load_estimate_value(&none), 0.3);
+	EXPECT_DOUBLE_EQ(interference_load_limit(world.interference, world.web, kTargetMs), 0.8);
 }
 
 TEST(Press, ImagesRunOut)
 {
-	struct press *p = press_new();
-	struct press_dose dose = { PRESS_NONE, 0.1 };
-	struct press_load load = {};
+	struct interference *p = interference_new();
+	struct filler_usage dose = { IMAGE_NONE, 0.1 };
+	struct load_estimate load = {};
 	char name[16];
 
-	for (int i = 0; i < PRESS_IMAGES_MAX; i++) {
+	for (int i = 0; i < INTERFERENCE_IMAGES_MAX; i++) {
 		snprintf(name, sizeof(name), "i%d", i);
-		EXPECT_EQ(press_image(p, name), i);
+		EXPECT_EQ(interference_image(p, name), i);
 	}
-	EXPECT_EQ(press_image(p, "one more"), PRESS_NONE);
-	press_learn(p, PRESS_NONE, &load, &dose, 1, 10, 50, 1000);
-	press_learn(p, 0, &load, &dose, 1, 10, 50, 1000);
-	EXPECT_DOUBLE_EQ(press_effect(p, 0, PRESS_NONE), 1);
-	press_free(p);
+	EXPECT_EQ(interference_image(p, "one more"), IMAGE_NONE);
+	interference_update(p, IMAGE_NONE, &load, &dose, 1, 10, 50, 1000);
+	interference_update(p, 0, &load, &dose, 1, 10, 50, 1000);
+	EXPECT_DOUBLE_EQ(interference_effect(p, 0, IMAGE_NONE), 1);
+	interference_free(p);
 }
 
 // The next leader goes on with what the former one knew.
@@ -248,14 +248,14 @@
 
 	for (int i = 0; i < 40; i++)
 		world.Step(0.3, 0.5);
-	press_each(
-	    world.press,
+	interference_foreach(
+	    world.interference,
 	    [](const char *serving, const char *filler, double effect,
 		void *ctx) {
-		    press_set(static_cast<struct press *>(ctx), serving, filler,
+		    interference_set_effect(static_cast<struct interference *>(ctx), serving, filler,
 			effect);
 	    },
-	    next.press);
+	    next.interference);
 	EXPECT_DOUBLE_EQ(next.Bad(), world.Bad());
 	EXPECT_DOUBLE_EQ(next.Good(), world.Good());
 }
--- a/tests/test_sched.cc
+++ b/tests/test_sched.cc
@@ -7,8 +7,8 @@
 TEST_F(Sched, EndsOfALateAnswerCount)
 {
 	struct sched_worker *w = AddWorker("w", 4000);
-	look_finished done;
-	struct look_result late = { 0, nullptr, 0, &done, 1 };
+	poll_finished done;
+	struct poll_result late = { 0, nullptr, 0, &done, 1 };
 
 	Add(Graph("a", 2, 1000));
 	Fence();
@@ -357,7 +357,7 @@
 TEST_F(Sched, ALateFirstAnswerShortensNoLease)
 {
 	struct sched_worker *w = Inherit("w", RECORD_EXPIRING, 4000);
-	struct look_result first = { now, nullptr, 0, nullptr, 0 };
+	struct poll_result first = { now, nullptr, 0, nullptr, 0 };
 	int64_t lapses = now + 4000;
 
 	store_slow = true;
@@ -369,7 +369,7 @@
 	memset(&foreign.task, 0, sizeof(foreign.task));
 	strlcpy(foreign.task.job, "not-known", sizeof(foreign.task.job));
 	foreign.attempt = 1;
-	look_finished end = End(1, foreign, END_DONE);
+	poll_finished end = End(1, foreign, END_DONE);
 	first.finished = &end;
 	first.nfinished = 1;
 	now += 800;
@@ -499,7 +499,7 @@
 	Inherit("silent", RECORD_IN_USE);
 	AddWorker("other", 8000);
 	sched_load_end(s, now);
-	sched_job_add(s, Graph("early", 1, 1000), now, ORIGIN_EARLY, now);
+	sched_job_add(s, Graph("early", 1, 1000), now, ORIGIN_OVERLAP, now);
 	OnlyOtherAnswers(options.former_ms);
 	EXPECT_TRUE(started.empty());
 	Add(Graph("later", 1, 1000));
@@ -521,7 +521,7 @@
 	while (now < begin + 200000) {
 		sched_act(s, now);
 		int64_t clock = now * 98 / 100;
-		struct look_result result = { clock, nullptr, 0, nullptr, 0 };
+		struct poll_result result = { clock, nullptr, 0, nullptr, 0 };
 		EXPECT_LE(renewed, clock + options.lease_ms);
 		now += 1000;
 		result.clock_ms = now * 98 / 100;
@@ -657,7 +657,7 @@
 	struct sched_job *job = Add(g);
 	uint64_t number = 1;
 	Fence();
-	for (enum look_end how : { END_DONE, END_FAILED, END_FAILED, END_FAILED,
+	for (enum run_end how : { END_DONE, END_FAILED, END_FAILED, END_FAILED,
 		 END_FAILED, END_LAPSED }) {
 		AllStarted();
 		size_t before = started.size();
@@ -717,7 +717,7 @@
 	int64_t begin = now;
 	std::map<uint32_t, int> pace = { { 0, 100 }, { 1, 100 } };
 	while (pace[0] + pace[1] > 0 && now < begin + 4000) {
-		std::vector<look_running> rows;
+		std::vector<poll_running> rows;
 		for (auto &o : started)
 			rows.push_back({ o.task, o.attempt, "", 100, 200 });
 		now += 250;
--- a/tests/test_sched_crash.cc
+++ b/tests/test_sched_crash.cc
@@ -233,7 +233,7 @@
 	Crash(started[0].worker);
 	PlayCrashes(4000);
 	ASSERT_EQ(2u, lost.size());
-	EXPECT_EQ(LOSS_OTHER_LIFE, lost[0].cause);
+	EXPECT_EQ(LOSS_OTHER_INCARNATION, lost[0].cause);
 	EXPECT_STREQ("lasting", lost[0].order.task.job);
 	EXPECT_NEAR(5000, lost[0].ran_ms, 200);
 	EXPECT_EQ(BLAME_NONE, lost[0].blame);
--- a/tests/test_sched_gang.cc
+++ b/tests/test_sched_gang.cc
@@ -155,7 +155,7 @@
 	ASSERT_EQ(started.size(), 3u);
 	for (size_t i = 0; i < 3; i++) {
 		Order o = started[i];
-		look_finished end = End(1, o, END_BROKEN);
+		poll_finished end = End(1, o, END_BROKEN);
 		std::string point = "point-" + std::to_string(i);
 
 		end.checkpoint = point.c_str();
--- a/tests/test_sched_lasting.cc
+++ b/tests/test_sched_lasting.cc
@@ -76,7 +76,7 @@
 	// All of this took place:
 	EXPECT_FALSE(paced.empty());
 	EXPECT_FALSE(stopped.empty());
-	EXPECT_GT(s->counts.stills, 0u);
+	EXPECT_GT(s->counts.stalled, 0u);
 	EXPECT_GT(sched_worker_find(s, "w2")->speed, 1.3);
 	// and yet:
 	EXPECT_EQ(StopsOfServing(), 0u);
--- a/tests/test_sched_share.cc
+++ b/tests/test_sched_share.cc
@@ -120,14 +120,14 @@
 	void
 	Work()
 	{
-		std::map<std::string, double> strain;
+		std::map<std::string, double> filler_load;
 
 		now += 50;
 		for (auto &[key, r] : running) {
 			if (!r.filler)
 				continue;
 			double share = (double)r.cpu / 32000 * r.pace / 100;
-			strain[r.worker] += share *
+			filler_load[r.worker] += share *
 			    (r.image == "bad" ? kBadEffect : kGoodEffect);
 			r.work_ms -= 50.0 * r.pace / 100;
 		}
@@ -135,7 +135,7 @@
 			if (r.filler)
 				continue;
 			double load =
-			    std::min(0.97, Load(r) * (1 + strain[r.worker]));
+			    std::min(0.97, Load(r) * (1 + filler_load[r.worker]));
 			double tail = kShortestMs / (1 - load);
 			r.tail = r.tail == 0 ? tail : 0.9 * r.tail + 0.1 * tail;
 			r.late_ms = tail > kTargetMs ? r.late_ms + 50 : 0;
@@ -148,8 +148,8 @@
 	Look(const std::string &id)
 	{
 		struct sched_worker *w = sched_worker_find(s, id.c_str());
-		std::vector<look_running> rows;
-		std::vector<look_finished> ends;
+		std::vector<poll_running> rows;
+		std::vector<poll_finished> ends;
 
 		for (auto it = running.begin(); it != running.end();) {
 			Running &r = it->second;
@@ -164,15 +164,15 @@
 				it = running.erase(it);
 				continue;
 			}
-			int figure = r.filler ? (int)(r.cpu * r.pace / 100) :
+			int measurement = r.filler ? (int)(r.cpu * r.pace / 100) :
 						(int)r.tail;
 			int percent =
 			    r.filler ? (int)(100 - r.work_ms / 25) : 100;
 			rows.push_back(
-			    { r.task, it->first.attempt, "", percent, figure });
+			    { r.task, it->first.attempt, "", percent, measurement });
 			++it;
 		}
-		struct look_result result = { now, rows.data(), rows.size(),
+		struct poll_result result = { now, rows.data(), rows.size(),
 			ends.data(), ends.size() };
 		sched_poll_answered(s, w, ANSWER_OK, &result, now);
 	}
