--- a/bench/skew/calls.c
+++ b/bench/skew/calls.c
@@ -50,7 +50,7 @@
 		w = entry->with_spare[gsl_rng_uniform_int(
 		    s->rng, (unsigned long)entry->spare_workers)];
 		snprintf(worker, sizeof(worker), "%d", w);
-		if (credit_take(entry->book, worker, CREDIT_QUICK, &epoch) !=
+		if (credit_take(entry->book, worker, CREDIT_CALL, &epoch) !=
 		    CREDIT_OK)
 			errx(1, "no credit where one was spare");
 	} else {
@@ -81,7 +81,7 @@
 	if (s->way == WAY_MOVING) {
 		snprintf(worker, sizeof(worker), "%d", event->b);
 		credit_release(
-		    entry->book, worker, 1, CREDIT_QUICK, CREDIT_ENDED);
+		    entry->book, worker, 1, CREDIT_CALL, CREDIT_ENDED);
 	} else {
 		entry->free++;
 	}
--- a/bench/skew/lend.c
+++ b/bench/skew/lend.c
@@ -178,7 +178,7 @@
 	struct credit_peer owner;
 	struct credit_amount back;
 
-	if (row->minted)
+	if (row->issued)
 		return;
 	back = lending_return(idle, row->spare, credit_spare(entry->book));
 	if (back.slots == 0)
--- a/bench/skew/sim.c
+++ b/bench/skew/sim.c
@@ -80,7 +80,7 @@
 		snprintf(id, sizeof(id), "%d", w);
 		snprintf(shard, sizeof(shard), "%d", w / rack_workers(s));
 		if (s->way == WAY_MOVING)
-			credit_mint(
+			credit_issue(
 			    s->each[owner].book, id, shard, 1, all, none);
 		else if (s->way == WAY_OWNER)
 			s->each[owner].free += SKEW_SLOTS;
--- a/bench/skew/skew.h
+++ b/bench/skew/skew.h
@@ -81,7 +81,7 @@
 
 /* An entry; in the static and owner ways with one pool of free slots. */
 struct entry {
-	struct credit_book *book;
+	struct credit_table *book;
 	struct lending_rate rate;
 	struct waiting queue;
 	int free; /* slots it can use at once */
--- a/core/admit.c
+++ b/core/admit.c
@@ -51,7 +51,7 @@
 void
 admit_remove_service(struct admit_service *s)
 {
-	admit_turns_remove(s);
+	admit_vtime_remove(s);
 	free(s);
 }
 
@@ -135,7 +135,7 @@
  * ever be measured again.
  */
 bool
-admit_probing(const struct admit_service *s)
+admit_probe_allowed(const struct admit_service *s)
 {
 	return (int64_t)s->running * PROBE_SHARE <= s->credits &&
 	    s->queued[ADMIT_URGENT] + s->queued[ADMIT_NORMAL] <= 1;
@@ -162,7 +162,7 @@
 		return ADMIT_QUEUE_FULL;
 	}
 	/* The quota comes last: a call refused otherwise doesn't use it up. */
-	if (left_ms <= 0 || (left_ms < needed_ms && !admit_probing(s))) {
+	if (left_ms <= 0 || (left_ms < needed_ms && !admit_probe_allowed(s))) {
 		*retry_after_ms =
 		    refuse_return_ms(s, now_ms, needed_ms - left_ms);
 		return ADMIT_CANT_MEET_DEADLINE;
--- a/core/admit_int.h
+++ b/core/admit_int.h
@@ -9,10 +9,10 @@
 
 TAILQ_HEAD(admit_queue, admit_item);
 RB_HEAD(admit_deadline_tree, admit_item);
-RB_HEAD(admit_turn_tree, admit_service);
+RB_HEAD(admit_vtime_tree, admit_service);
 
 struct admit_service {
-	RB_ENTRY(admit_service) turn_link;
+	RB_ENTRY(admit_service) vtime_link;
 	struct admit *admit;
 	struct admit_queue queues[ADMIT_NPRIORITIES];
 	size_t queued[ADMIT_NPRIORITIES];
@@ -23,7 +23,7 @@
 	uint64_t serial;
 	int64_t credits;
 	bool has_endpoints;
-	struct admit_turn_tree *in; /* the tree it is in, or NULL */
+	struct admit_vtime_tree *in; /* the tree it is in, or NULL */
 	int64_t served_us; /* running mean; 0: not yet known */
 	int64_t next_return_ms; /* when the next refused call may come back */
 };
@@ -31,8 +31,8 @@
 struct admit {
 	struct admit_options o;
 	struct admit_deadline_tree deadlines;
-	struct admit_turn_tree turns; /* services with calls queued */
-	struct admit_turn_tree blocked; /* without a credit in this pass */
+	struct admit_vtime_tree turns; /* services with calls queued */
+	struct admit_vtime_tree blocked; /* without a credit in this pass */
 	uint64_t turn; /* of the service served last */
 	uint64_t sequence;
 	size_t queued;
@@ -42,21 +42,21 @@
 };
 
 int admit_deadline_cmp(const struct admit_item *, const struct admit_item *);
-int admit_turn_cmp(const struct admit_service *, const struct admit_service *);
+int admit_vtime_cmp(const struct admit_service *, const struct admit_service *);
 RB_PROTOTYPE(admit_deadline_tree, admit_item, deadline_link, admit_deadline_cmp)
-RB_PROTOTYPE(admit_turn_tree, admit_service, turn_link, admit_turn_cmp)
+RB_PROTOTYPE(admit_vtime_tree, admit_service, vtime_link, admit_vtime_cmp)
 
 /* A service has its turn in one tree at most; removing it twice is fine. */
-void admit_turns_insert(struct admit_turn_tree *, struct admit_service *);
-void admit_turns_remove(struct admit_service *);
+void admit_vtime_insert(struct admit_vtime_tree *, struct admit_service *);
+void admit_vtime_remove(struct admit_service *);
 
 /* An item gets into its service's queue, and out of it. */
 void admit_enqueue(struct admit_item *, bool at_head);
 void admit_dequeue(struct admit_item *);
 /* Take an item out of everything, whatever its state. */
-void admit_forget(struct admit_item *);
+void admit_detach(struct admit_item *);
 
 /* May a call go ahead whatever the estimate says? */
-bool admit_probing(const struct admit_service *);
+bool admit_probe_allowed(const struct admit_service *);
 
 #endif /* ADMIT_INT_H */
--- a/core/admit_queue.c
+++ b/core/admit_queue.c
@@ -3,7 +3,7 @@
 /* The queues of the services, and the trees of turns and of deadlines. */
 
 RB_GENERATE(admit_deadline_tree, admit_item, deadline_link, admit_deadline_cmp)
-RB_GENERATE(admit_turn_tree, admit_service, turn_link, admit_turn_cmp)
+RB_GENERATE(admit_vtime_tree, admit_service, vtime_link, admit_vtime_cmp)
 
 int
 admit_deadline_cmp(const struct admit_item *a, const struct admit_item *b)
@@ -16,7 +16,7 @@
 }
 
 int
-admit_turn_cmp(const struct admit_service *a, const struct admit_service *b)
+admit_vtime_cmp(const struct admit_service *a, const struct admit_service *b)
 {
 	if (a->turn != b->turn)
 		return a->turn < b->turn ? -1 : 1;
@@ -26,18 +26,18 @@
 }
 
 void
-admit_turns_insert(struct admit_turn_tree *tree, struct admit_service *s)
+admit_vtime_insert(struct admit_vtime_tree *tree, struct admit_service *s)
 {
-	RB_INSERT(admit_turn_tree, tree, s);
+	RB_INSERT(admit_vtime_tree, tree, s);
 	s->in = tree;
 }
 
 void
-admit_turns_remove(struct admit_service *s)
+admit_vtime_remove(struct admit_service *s)
 {
 	if (s->in == NULL)
 		return;
-	RB_REMOVE(admit_turn_tree, s->in, s);
+	RB_REMOVE(admit_vtime_tree, s->in, s);
 	s->in = NULL;
 }
 
@@ -62,7 +62,7 @@
 	/* A service that was idle doesn't catch up on turns it didn't need. */
 	if (s->turn < s->admit->turn)
 		s->turn = s->admit->turn;
-	admit_turns_insert(&s->admit->turns, s);
+	admit_vtime_insert(&s->admit->turns, s);
 }
 
 void
@@ -76,11 +76,11 @@
 	s->admit->queued--;
 	s->admit->bytes -= it->bytes;
 	if (s->queued[ADMIT_URGENT] + s->queued[ADMIT_NORMAL] == 0)
-		admit_turns_remove(s);
+		admit_vtime_remove(s);
 }
 
 void
-admit_forget(struct admit_item *it)
+admit_detach(struct admit_item *it)
 {
 	struct admit_service *s;
 
--- a/core/admit_run.c
+++ b/core/admit_run.c
@@ -24,7 +24,7 @@
 too_late(const struct admit_item *it, int64_t now_ms)
 {
 	return it->deadline_ms - now_ms < admit_service_ms(it->service) &&
-	    !admit_probing(it->service);
+	    !admit_probe_allowed(it->service);
 }
 
 void
@@ -68,7 +68,7 @@
 
 	it = next_item(s);
 	if (too_late(it, now_ms)) {
-		admit_forget(it);
+		admit_detach(it);
 		s->admit->o.expired(it, false, s->admit->o.ctx);
 		return true;
 	}
@@ -90,24 +90,24 @@
 admit_run(struct admit *a, int64_t now_ms)
 {
 	struct admit_service *s;
-	struct admit_turn_tree *tree;
+	struct admit_vtime_tree *tree;
 
-	while ((s = RB_MIN(admit_turn_tree, &a->turns)) != NULL) {
+	while ((s = RB_MIN(admit_vtime_tree, &a->turns)) != NULL) {
 		a->turn = s->turn;
 		if (run_one(s, now_ms)) {
 			tree = s->in;
-			admit_turns_remove(s);
+			admit_vtime_remove(s);
 			s->turn += TURN_UNIT / s->weight;
 			if (tree != NULL)
-				admit_turns_insert(tree, s);
+				admit_vtime_insert(tree, s);
 		} else {
-			admit_turns_remove(s);
-			admit_turns_insert(&a->blocked, s);
+			admit_vtime_remove(s);
+			admit_vtime_insert(&a->blocked, s);
 		}
 	}
-	while ((s = RB_MIN(admit_turn_tree, &a->blocked)) != NULL) {
-		admit_turns_remove(s);
-		admit_turns_insert(&a->turns, s);
+	while ((s = RB_MIN(admit_vtime_tree, &a->blocked)) != NULL) {
+		admit_vtime_remove(s);
+		admit_vtime_insert(&a->turns, s);
 	}
 }
 
@@ -130,13 +130,13 @@
 {
 	if (ok)
 		served(it, now_ms);
-	admit_forget(it);
+	admit_detach(it);
 }
 
 void
 admit_cancel(struct admit_item *it)
 {
-	admit_forget(it);
+	admit_detach(it);
 }
 
 void
@@ -155,7 +155,7 @@
 		 */
 		if (was_running)
 			served(it, now_ms);
-		admit_forget(it);
+		admit_detach(it);
 		a->o.expired(it, was_running, a->o.ctx);
 	}
 }
--- a/core/bind.c
+++ b/core/bind.c
@@ -50,12 +50,12 @@
 {
 	memset(o, 0, sizeof(*o));
 	o->candidates = 16;
-	o->look_max = 128;
+	o->examine_max = 128;
 	o->tail_weight = 1;
 	o->throughput_weight = 1;
 	o->eviction_weight = 1;
 	o->explore = 0.02;
-	o->unmeasured = 2;
+	o->unmeasured_max = 2;
 	o->headroom = 0.02;
 }
 
@@ -143,12 +143,12 @@
 	explore = next->explore - best->explore;
 	most = fmax(fmax(quiet, spread), fmax(room, explore));
 	if (most - quiet < EQUAL && quiet > EQUAL)
-		return BIND_QUIET;
+		return BIND_LEAST_INTERFERENCE;
 	if (most - spread < EQUAL && spread > EQUAL)
 		return BIND_SPREAD;
 	if (most - explore < EQUAL && explore > EQUAL)
 		return BIND_EXPLORE;
-	return BIND_ROOMY;
+	return BIND_MOST_ROOM;
 }
 
 static struct bind_result
@@ -167,7 +167,7 @@
 		r.index = s->best.index;
 		r.cost = s->best.total;
 		r.runner_up = s->found > 1 ? s->next.total : 0;
-		r.reason = s->found > 1 ? why(&s->best, &s->next) : BIND_ONLY;
+		r.reason = s->found > 1 ? why(&s->best, &s->next) : BIND_ONLY_FIT;
 		return r;
 	}
 	r.reason = BIND_NO_FIT;
@@ -199,14 +199,14 @@
 static int
 must_wait(const struct bind_options *o, const struct bind_task *t)
 {
-	return o->unmeasured > 0 && !t->urgent && !t->resumed &&
-	    t->job_running >= o->unmeasured && t->job_measured < o->unmeasured;
+	return o->unmeasured_max > 0 && !t->urgent && !t->resumed &&
+	    t->job_running >= o->unmeasured_max && t->job_measured < o->unmeasured_max;
 }
 
 struct bind_result
 bind_pick(const struct bind_options *o, const struct bind_task *t,
-    struct bind_worker *const *w, size_t n, bind_fits room,
-    bind_domain_count domain, void *ctx, uint64_t random, int64_t now_ms)
+    struct bind_worker *const *w, size_t n, bind_fits_cb room,
+    bind_domain_count_cb domain, void *ctx, uint64_t random, int64_t now_ms)
 {
 	enum health_state state;
 	struct search f;
@@ -216,13 +216,13 @@
 	int looked, in_domain;
 
 	if (must_wait(o, t))
-		return none(BIND_UNMEASURED);
+		return none(BIND_JOB_NOT_MEASURED);
 	memset(&f, 0, sizeof(f));
 	f.best.total = f.next.total = INFINITY;
 	f.probe = -1;
 	f.large = 1;
 	sample_start(&s, n, random);
-	for (looked = 0; looked < o->look_max && f.found < o->candidates;
+	for (looked = 0; looked < o->examine_max && f.found < o->candidates;
 	     looked++) {
 		if ((i = sample_next(&s)) == n)
 			break;
@@ -269,7 +269,7 @@
 
 	r = none(n == 0 ? BIND_NONE : BIND_NO_FIT);
 	sample_start(&s, n, random);
-	for (looked = 0; looked < o->look_max; looked++) {
+	for (looked = 0; looked < o->examine_max; looked++) {
 		if ((i = sample_next(&s)) == n)
 			break;
 		if (w[i]->leaving || !could_fit(t, w[i]) ||
@@ -303,13 +303,13 @@
 bind_reason_text(enum bind_reason r)
 {
 	switch (r) {
-	case BIND_ONLY:
+	case BIND_ONLY_FIT:
 		return "only_fit";
-	case BIND_QUIET:
+	case BIND_LEAST_INTERFERENCE:
 		return "least_interference";
 	case BIND_SPREAD:
 		return "spread";
-	case BIND_ROOMY:
+	case BIND_MOST_ROOM:
 		return "most_room";
 	case BIND_PROBE:
 		return "probe";
@@ -323,7 +323,7 @@
 		return "all_failing";
 	case BIND_TOO_LARGE:
 		return "larger_than_any_vm";
-	case BIND_UNMEASURED:
+	case BIND_JOB_NOT_MEASURED:
 		return "job_not_measured_yet";
 	case BIND_NONE:
 		return "no_worker";
--- a/core/bind.h
+++ b/core/bind.h
@@ -15,17 +15,17 @@
  */
 
 enum bind_reason {
-	BIND_ONLY, /* the one worker that fits */
-	BIND_QUIET, /* chiefly: disturbs least what runs there */
+	BIND_ONLY_FIT, /* the one worker that fits */
+	BIND_LEAST_INTERFERENCE, /* chiefly: disturbs least what runs there */
 	BIND_SPREAD, /* chiefly: fewest tasks of the job in that domain */
-	BIND_ROOMY, /* chiefly: leaves the best balance of room */
+	BIND_MOST_ROOM, /* chiefly: leaves the best balance of room */
 	BIND_PROBE, /* a probe of a worker that was failing */
 	BIND_EXPLORE, /* to learn about a pair not yet seen together */
 	BIND_AHEAD, /* it would run out of work first */
 	BIND_NO_FIT, /* none: no room in those looked at */
 	BIND_ALL_FAILING, /* none: those with room are failing */
 	BIND_TOO_LARGE, /* none: larger than any VM */
-	BIND_UNMEASURED, /* none yet: the first tasks of its job go first */
+	BIND_JOB_NOT_MEASURED, /* none yet: the first tasks of its job go first */
 	BIND_NONE /* none: no worker at all */
 };
 
@@ -69,19 +69,19 @@
  * Tasks of this job already bound in a failure domain.  May be NULL when
  * the caller doesn't spread.
  */
-typedef int (*bind_domain_count)(void *ctx, int domain);
+typedef int (*bind_domain_count_cb)(void *ctx, int domain);
 
 /* The last word on room, such as that of core/room; nonzero: it fits. */
-typedef int (*bind_fits)(void *ctx, size_t index, const struct resources *);
+typedef int (*bind_fits_cb)(void *ctx, size_t index, const struct resources *);
 
 struct bind_options {
 	int candidates; /* that fit, weighed against each other; 16 */
-	int look_max; /* workers looked at for them; 128 */
+	int examine_max; /* workers looked at for them; 128 */
 	double tail_weight; /* of the policy; 1 */
 	double throughput_weight; /* of the policy; 1 */
 	double eviction_weight; /* of the policy; 1 */
 	double explore; /* worth of learning about an unknown pair; 0.02 */
-	int unmeasured; /* tasks of a job that may run before its use has been
+	int unmeasured_max; /* tasks of a job that may run before its use has been
 			   measured that often; 0: any number; 2 */
 	double headroom; /* share of a VM kept free of normal tasks; 0.02 */
 	int64_t ahead_ms; /* no more is bound ahead to a worker whose work
@@ -102,8 +102,8 @@
  * may be NULL; both get ctx.
  */
 struct bind_result bind_pick(const struct bind_options *,
-    const struct bind_task *, struct bind_worker *const *, size_t n, bind_fits,
-    bind_domain_count, void *ctx, uint64_t random, int64_t now_ms);
+    const struct bind_task *, struct bind_worker *const *, size_t n, bind_fits_cb,
+    bind_domain_count_cb, void *ctx, uint64_t random, int64_t now_ms);
 
 /*
  * The worker to bind a task ahead to, startable only there: among those
--- a/core/budget.c
+++ b/core/budget.c
@@ -4,7 +4,7 @@
 
 #define PERCENT 100
 
-static struct budget_slot *slot_now(struct budget *, int64_t);
+static struct budget_bucket *slot_now(struct budget *, int64_t);
 static enum budget_verdict judge(
     const struct budget *, enum budget_kind, bool, int64_t);
 
@@ -22,14 +22,14 @@
 }
 
 /* The slot of this moment, emptied if it is from an earlier turn. */
-static struct budget_slot *
+static struct budget_bucket *
 slot_now(struct budget *b, int64_t now_ms)
 {
-	struct budget_slot *s;
+	struct budget_bucket *s;
 	int64_t number;
 
-	number = now_ms / BUDGET_SLOT_MS;
-	s = &b->slots[number % BUDGET_SLOTS];
+	number = now_ms / BUDGET_BUCKET_MS;
+	s = &b->slots[number % BUDGET_BUCKETS];
 	if (s->number != number) {
 		memset(s, 0, sizeof(*s));
 		s->number = number;
@@ -47,7 +47,7 @@
 judge(const struct budget *b, enum budget_kind kind, bool idempotent,
     int64_t now_ms)
 {
-	const struct budget_slot *s;
+	const struct budget_bucket *s;
 	uint64_t allowed, spent, successes;
 	int64_t oldest;
 	int i;
@@ -56,9 +56,9 @@
 		return BUDGET_NOT_IDEMPOTENT;
 	if (b->percent[kind] == 0)
 		return BUDGET_OFF;
-	oldest = now_ms / BUDGET_SLOT_MS - BUDGET_SLOTS + 1;
+	oldest = now_ms / BUDGET_BUCKET_MS - BUDGET_BUCKETS + 1;
 	spent = successes = 0;
-	for (i = 0; i < BUDGET_SLOTS; i++) {
+	for (i = 0; i < BUDGET_BUCKETS; i++) {
 		s = &b->slots[i];
 		if (s->number < oldest)
 			continue;
--- a/core/budget.h
+++ b/core/budget.h
@@ -12,8 +12,8 @@
  * bounded by the call's number of attempts instead.
  */
 
-#define BUDGET_SLOTS 10
-#define BUDGET_SLOT_MS 1000
+#define BUDGET_BUCKETS 10
+#define BUDGET_BUCKET_MS 1000
 
 enum budget_kind {
 	BUDGET_RETRY, /* the attempt before failed */
@@ -29,8 +29,8 @@
 	BUDGET_NVERDICTS
 };
 
-struct budget_slot {
-	int64_t number; /* time divided by BUDGET_SLOT_MS */
+struct budget_bucket {
+	int64_t number; /* time divided by BUDGET_BUCKET_MS */
 	uint32_t successes;
 	uint32_t spent[BUDGET_NKINDS];
 };
@@ -39,7 +39,7 @@
 struct budget {
 	uint32_t percent[BUDGET_NKINDS]; /* of recent successes */
 	uint32_t reserve; /* retries allowed without any success */
-	struct budget_slot slots[BUDGET_SLOTS];
+	struct budget_bucket slots[BUDGET_BUCKETS];
 	uint64_t counts[BUDGET_NKINDS][BUDGET_NVERDICTS];
 };
 
--- a/core/choose.c
+++ b/core/choose.c
@@ -29,7 +29,7 @@
 {
 	memset(o, 0, sizeof(*o));
 	o->candidates = 24;
-	o->look_max = 64;
+	o->examine_max = 64;
 	o->one_way_ms = 1.5;
 	o->fallback_ms = 10;
 	o->failing_ms = 10000;
@@ -72,8 +72,8 @@
 	if (next->total_ms - best->total_ms < EQUAL_MS)
 		return CHOOSE_EQUAL;
 	if (near >= fast && near >= idle)
-		return CHOOSE_NEAR;
-	return fast >= idle ? CHOOSE_FAST : CHOOSE_IDLE;
+		return CHOOSE_NEAREST;
+	return fast >= idle ? CHOOSE_LOWEST_LATENCY : CHOOSE_FEWEST_IN_FLIGHT;
 }
 
 static struct choose_result
@@ -108,7 +108,7 @@
 	best.total_ms = INFINITY;
 	next = best;
 	sample_start(&s, n, random);
-	while (found < o->candidates && (found == 0 || looked < o->look_max)) {
+	while (found < o->candidates && (found == 0 || looked < o->examine_max)) {
 		if ((i = sample_next(&s)) == n)
 			break;
 		looked++;
@@ -132,7 +132,7 @@
 	r.index = best.index;
 	r.expected_ms = best.total_ms;
 	r.runner_up_ms = found > 1 ? next.total_ms : 0;
-	r.reason = found > 1 ? why(&best, &next) : CHOOSE_ONLY;
+	r.reason = found > 1 ? why(&best, &next) : CHOOSE_ONLY_CANDIDATE;
 	return r;
 }
 
@@ -165,13 +165,13 @@
 choose_reason_text(enum choose_reason r)
 {
 	switch (r) {
-	case CHOOSE_ONLY:
+	case CHOOSE_ONLY_CANDIDATE:
 		return "only_candidate";
-	case CHOOSE_NEAR:
+	case CHOOSE_NEAREST:
 		return "nearest";
-	case CHOOSE_FAST:
+	case CHOOSE_LOWEST_LATENCY:
 		return "lowest_latency";
-	case CHOOSE_IDLE:
+	case CHOOSE_FEWEST_IN_FLIGHT:
 		return "fewest_in_flight";
 	case CHOOSE_EQUAL:
 		return "equal";
--- a/core/choose.h
+++ b/core/choose.h
@@ -14,10 +14,10 @@
  */
 
 enum choose_reason {
-	CHOOSE_ONLY, /* the one candidate */
-	CHOOSE_NEAR, /* chiefly for the data centre */
-	CHOOSE_FAST, /* chiefly for the learnt latency */
-	CHOOSE_IDLE, /* chiefly for fewer calls in flight */
+	CHOOSE_ONLY_CANDIDATE, /* the one candidate */
+	CHOOSE_NEAREST, /* chiefly for the data centre */
+	CHOOSE_LOWEST_LATENCY, /* chiefly for the learnt latency */
+	CHOOSE_FEWEST_IN_FLIGHT, /* chiefly for fewer calls in flight */
 	CHOOSE_EQUAL, /* no difference; drawn */
 	CHOOSE_NO_CREDIT, /* none: no candidate has a credit */
 	CHOOSE_ALL_LEAVING, /* none: those with credits are leaving */
@@ -38,7 +38,7 @@
 
 struct choose_options {
 	int candidates; /* sampled; 24 */
-	int look_max; /* endpoints looked at once one is found; 64 */
+	int examine_max; /* endpoints looked at once one is found; 64 */
 	double one_way_ms; /* to another data centre; 1.5 or 0.5 */
 	double fallback_ms; /* latency assumed of an unknown service; 10 */
 	int64_t failing_ms; /* how long failures count; 10000 */
--- a/core/claim.c
+++ b/core/claim.c
@@ -48,7 +48,7 @@
 static void
 refuse(struct claim *c, enum claim_refusal why)
 {
-	c->state = CLAIM_OVER;
+	c->state = CLAIM_CLOSED;
 	if (c->may_be_written)
 		c->ops->settle(c, CLAIM_MARK_NOT_RUN, c->ops->ctx);
 	c->ops->refused(c, why, c->ops->ctx);
@@ -59,7 +59,7 @@
 {
 	c->may_be_written = true;
 	if (!in_time(c, now_ms)) {
-		refuse(c, CLAIM_REFUSED_LATE);
+		refuse(c, CLAIM_REFUSED_EXPIRED);
 		return;
 	}
 	c->state = CLAIM_GRANTED;
@@ -84,7 +84,7 @@
 		return;
 	}
 	if (!in_time(c, now_ms)) {
-		refuse(c, CLAIM_REFUSED_LATE);
+		refuse(c, CLAIM_REFUSED_EXPIRED);
 		return;
 	}
 	c->state = CLAIM_REPLACING;
@@ -92,10 +92,10 @@
 }
 
 void
-claim_answered(struct claim *c, enum claim_store_result result,
+claim_store_answered(struct claim *c, enum claim_store_result result,
     const struct claim_record *r, int64_t now_ms)
 {
-	if (c->state == CLAIM_GRANTED || c->state == CLAIM_OVER)
+	if (c->state == CLAIM_GRANTED || c->state == CLAIM_CLOSED)
 		return;
 	if (result == CLAIM_STORE_CONFLICT ||
 	    (result == CLAIM_STORE_DONE && c->state == CLAIM_READING)) {
@@ -107,14 +107,14 @@
 		return;
 	}
 	/* A write whose answer is lost may also take effect later on. */
-	if (result == CLAIM_STORE_LOST)
+	if (result == CLAIM_STORE_NO_ANSWER)
 		c->may_be_written = true;
-	if (result == CLAIM_STORE_AWAY) {
+	if (result == CLAIM_STORE_UNAVAILABLE) {
 		refuse(c, CLAIM_REFUSED_STORE);
 		return;
 	}
 	if (!in_time(c, now_ms)) {
-		refuse(c, CLAIM_REFUSED_LATE);
+		refuse(c, CLAIM_REFUSED_EXPIRED);
 		return;
 	}
 	if (result == CLAIM_STORE_ABSENT) {
@@ -137,7 +137,7 @@
 {
 	if (c->state != CLAIM_GRANTED)
 		return;
-	c->state = CLAIM_OVER;
+	c->state = CLAIM_CLOSED;
 	c->ops->settle(
 	    c, ran ? CLAIM_MARK_DONE : CLAIM_MARK_NOT_RUN, c->ops->ctx);
 }
@@ -145,8 +145,8 @@
 void
 claim_abandon(struct claim *c)
 {
-	if (c->state == CLAIM_GRANTED || c->state == CLAIM_OVER)
+	if (c->state == CLAIM_GRANTED || c->state == CLAIM_CLOSED)
 		return;
-	c->state = CLAIM_OVER;
+	c->state = CLAIM_CLOSED;
 	c->ops->settle(c, CLAIM_MARK_NOT_RUN, c->ops->ctx);
 }
--- a/core/claim.h
+++ b/core/claim.h
@@ -27,7 +27,7 @@
 	CLAIM_REPLACING,
 	CLAIM_READING,
 	CLAIM_GRANTED,
-	CLAIM_OVER
+	CLAIM_CLOSED
 };
 
 /* What a claim's record says; once NOT_RUN, the id may be claimed anew. */
@@ -37,14 +37,14 @@
 	CLAIM_STORE_DONE, /* the write took effect, or the read found it */
 	CLAIM_STORE_CONFLICT, /* another record is there, as given */
 	CLAIM_STORE_ABSENT, /* the read found nothing */
-	CLAIM_STORE_LOST, /* no answer: it may have taken effect */
-	CLAIM_STORE_AWAY /* certainly without effect */
+	CLAIM_STORE_NO_ANSWER, /* no answer: it may have taken effect */
+	CLAIM_STORE_UNAVAILABLE /* certainly without effect */
 };
 
 enum claim_refusal {
 	CLAIM_REFUSED_DUPLICATE, /* another attempt holds the id */
 	CLAIM_REFUSED_STORE, /* the store doesn't answer */
-	CLAIM_REFUSED_LATE /* deadline passed or claim too old */
+	CLAIM_REFUSED_EXPIRED /* deadline passed or claim too old */
 };
 
 struct claim_record {
@@ -55,7 +55,7 @@
 
 struct claim;
 
-/* Actions.  The answer to a store action comes back by claim_answered. */
+/* Actions.  The answer to a store action comes back by claim_store_answered. */
 struct claim_ops {
 	/* Write our record if the key is absent. */
 	void (*create)(struct claim *, void *ctx);
@@ -101,7 +101,7 @@
 
 /* The answer to the last create, replace or read; record for CONFLICT and
  * for a read's DONE. */
-void claim_answered(struct claim *, enum claim_store_result,
+void claim_store_answered(struct claim *, enum claim_store_result,
     const struct claim_record *, int64_t now_ms);
 
 /*
--- a/core/conf.c
+++ b/core/conf.c
@@ -307,7 +307,7 @@
 }
 
 bool
-conf_progress(struct conf *c, int64_t from, int64_t to)
+conf_advance(struct conf *c, int64_t from, int64_t to)
 {
 	/*
 	 * A watch that was resumed too late, or a peer that answers for
@@ -359,7 +359,7 @@
 	 */
 	if (revision > c->revision)
 		c->floor = revision;
-	conf_progress(c, 0, revision);
+	conf_advance(c, 0, revision);
 	return CONF_OK;
 }
 
@@ -427,7 +427,7 @@
 		if (error == CONF_ERR_MEMORY)
 			return error;
 	}
-	conf_progress(c, e->since, e->revision);
+	conf_advance(c, e->since, e->revision);
 	return CONF_OK;
 }
 
--- a/core/conf.h
+++ b/core/conf.h
@@ -72,7 +72,7 @@
 
 /*
  * Take one change from any source in any order.  It doesn't move the
- * revision in force; see conf_progress.
+ * revision in force; see conf_advance.
  */
 enum conf_error conf_apply(struct conf *, const struct conf_update *);
 
@@ -82,7 +82,7 @@
  * false, and moves nothing, if there is a gap between the revision in force
  * and from: then a snapshot is needed.
  */
-bool conf_progress(struct conf *, int64_t from, int64_t to);
+bool conf_advance(struct conf *, int64_t from, int64_t to);
 
 /*
  * Take all records as they stood at a revision.  A key that isn't listed and
--- a/core/credit.c
+++ b/core/credit.c
@@ -11,7 +11,7 @@
     const struct credit_worker *, const struct credit_worker *);
 static struct credit_amount amount_of(enum credit_kind);
 static void fence_row(
-    struct credit_book *, struct credit_worker *, uint64_t epoch);
+    struct credit_table *, struct credit_worker *, uint64_t epoch);
 static struct credit_amount amount_min(
     struct credit_amount, struct credit_amount);
 
@@ -50,7 +50,7 @@
 {
 	struct credit_amount a;
 
-	a.slots = kind == CREDIT_QUICK ? 1 : 0;
+	a.slots = kind == CREDIT_CALL ? 1 : 0;
 	a.connections = 1;
 	return a;
 }
@@ -65,10 +65,10 @@
 	return a;
 }
 
-struct credit_book *
+struct credit_table *
 credit_open(const struct credit_options *options)
 {
-	struct credit_book *book;
+	struct credit_table *book;
 
 	if ((book = calloc(1, sizeof(*book))) == NULL)
 		return NULL;
@@ -87,7 +87,7 @@
 }
 
 void
-credit_close(struct credit_book *book)
+credit_close(struct credit_table *book)
 {
 	struct credit_worker *row;
 
@@ -98,13 +98,13 @@
 		credit_grants_clear(row);
 		free(row);
 	}
-	credit_forget_peers(book);
-	credit_forget_statements(book);
+	credit_free_peers(book);
+	credit_free_holdings(book);
 	free(book);
 }
 
 struct credit_worker *
-credit_row(struct credit_book *book, const char *worker)
+credit_row(struct credit_table *book, const char *worker)
 {
 	struct credit_worker key;
 
@@ -115,7 +115,7 @@
 }
 
 struct credit_worker *
-credit_row_make(struct credit_book *book, const char *worker, const char *shard)
+credit_row_ensure(struct credit_table *book, const char *worker, const char *shard)
 {
 	struct credit_worker *row;
 
@@ -136,7 +136,7 @@
 }
 
 void
-credit_row_spare(struct credit_book *book, struct credit_worker *row,
+credit_row_add_spare(struct credit_table *book, struct credit_worker *row,
     struct credit_amount amount, int sign)
 {
 	/*
@@ -159,19 +159,19 @@
  * the call.  Calls under way go on and are only counted.
  */
 void
-credit_row_raise(
-    struct credit_book *book, struct credit_worker *row, uint64_t epoch)
+credit_row_set_epoch(
+    struct credit_table *book, struct credit_worker *row, uint64_t epoch)
 {
 	static const struct credit_amount none;
 
-	credit_row_spare(book, row, row->spare, -1);
+	credit_row_add_spare(book, row, row->spare, -1);
 	credit_amount_add(&row->older, row->busy, 1);
 	row->busy = none;
 	row->low = none;
 	row->capacity = none;
-	row->at_fence = none;
+	row->used_at_fence = none;
 	row->lost = none;
-	row->minted = false;
+	row->issued = false;
 	row->fenced = false;
 	row->owner[0] = '\0';
 	row->epoch = epoch;
@@ -179,7 +179,7 @@
 }
 
 enum credit_error
-credit_mint(struct credit_book *book, const char *worker, const char *shard,
+credit_issue(struct credit_table *book, const char *worker, const char *shard,
     uint64_t epoch, struct credit_amount capacity, struct credit_amount used)
 {
 	struct credit_worker *row;
@@ -188,7 +188,7 @@
 	if (epoch == 0 || !credit_amount_valid(capacity) ||
 	    !credit_amount_valid(used))
 		return CREDIT_ERR_INVALID;
-	if ((row = credit_row_make(book, worker, shard)) == NULL)
+	if ((row = credit_row_ensure(book, worker, shard)) == NULL)
 		return CREDIT_ERR_MEMORY;
 	if (epoch < row->epoch)
 		return CREDIT_ERR_OLD_EPOCH;
@@ -196,16 +196,16 @@
 		memset(&usage, 0, sizeof(usage));
 		usage.used = used;
 		credit_report(book, worker, epoch, &usage);
-		return CREDIT_ERR_MINTED;
+		return CREDIT_ERR_ISSUED;
 	}
-	credit_row_raise(book, row, epoch);
+	credit_row_set_epoch(book, row, epoch);
 	strlcpy(row->shard, shard, sizeof(row->shard));
 	strlcpy(row->owner, book->self, sizeof(row->owner));
-	row->minted = true;
+	row->issued = true;
 	row->capacity = capacity;
-	row->at_fence = amount_min(used, capacity);
-	credit_amount_add(&capacity, row->at_fence, -1);
-	credit_row_spare(book, row, capacity, 1);
+	row->used_at_fence = amount_min(used, capacity);
+	credit_amount_add(&capacity, row->used_at_fence, -1);
+	credit_row_add_spare(book, row, capacity, 1);
 	return CREDIT_OK;
 }
 
@@ -215,7 +215,7 @@
  * for them from then on.
  */
 enum credit_error
-credit_report(struct credit_book *book, const char *worker, uint64_t epoch,
+credit_report(struct credit_table *book, const char *worker, uint64_t epoch,
     const struct credit_usage *usage)
 {
 	struct credit_worker *row;
@@ -223,21 +223,21 @@
 
 	if ((row = credit_row(book, worker)) == NULL)
 		return CREDIT_ERR_UNKNOWN_WORKER;
-	if (epoch != row->epoch || !row->minted)
+	if (epoch != row->epoch || !row->issued)
 		return CREDIT_ERR_OLD_EPOCH;
 	bound = usage->has_older ? usage->older : usage->used;
 	if (!credit_amount_valid(bound))
 		return CREDIT_ERR_INVALID;
-	left = amount_min(row->at_fence, bound);
-	ended = row->at_fence;
+	left = amount_min(row->used_at_fence, bound);
+	ended = row->used_at_fence;
 	credit_amount_add(&ended, left, -1);
-	row->at_fence = left;
-	credit_row_spare(book, row, ended, 1);
+	row->used_at_fence = left;
+	credit_row_add_spare(book, row, ended, 1);
 	return CREDIT_OK;
 }
 
 enum credit_error
-credit_take(struct credit_book *book, const char *worker, enum credit_kind kind,
+credit_take(struct credit_table *book, const char *worker, enum credit_kind kind,
     uint64_t *epoch)
 {
 	struct credit_worker *row;
@@ -250,14 +250,14 @@
 	need = amount_of(kind);
 	if (!credit_amount_covers(row->spare, need))
 		return CREDIT_ERR_EMPTY;
-	credit_row_spare(book, row, need, -1);
+	credit_row_add_spare(book, row, need, -1);
 	credit_amount_add(&row->busy, need, 1);
 	*epoch = row->epoch;
 	return CREDIT_OK;
 }
 
 enum credit_error
-credit_release(struct credit_book *book, const char *worker, uint64_t epoch,
+credit_release(struct credit_table *book, const char *worker, uint64_t epoch,
     enum credit_kind kind, enum credit_end end)
 {
 	struct credit_worker *row;
@@ -280,29 +280,29 @@
 	 * again, its credit would let one call too many into the endpoint.
 	 */
 	if (end == CREDIT_ENDED)
-		credit_row_spare(book, row, amount, 1);
-	else if (row->minted)
+		credit_row_add_spare(book, row, amount, 1);
+	else if (row->issued)
 		credit_amount_add(&row->lost, amount, 1);
 	return CREDIT_OK;
 }
 
 static void
-fence_row(struct credit_book *book, struct credit_worker *row, uint64_t epoch)
+fence_row(struct credit_table *book, struct credit_worker *row, uint64_t epoch)
 {
 	/*
 	 * The row must not come to stand at an epoch that this entry is about
 	 * to mint itself, so it stops just below the one it was told.
 	 */
 	if (epoch > row->epoch + 1)
-		credit_row_raise(book, row, epoch - 1);
+		credit_row_set_epoch(book, row, epoch - 1);
 	else if (epoch != row->epoch + 1)
 		return;
-	credit_row_spare(book, row, row->spare, -1);
+	credit_row_add_spare(book, row, row->spare, -1);
 	row->fenced = true;
 }
 
 void
-credit_fenced(struct credit_book *book, const char *worker, uint64_t epoch)
+credit_fenced(struct credit_table *book, const char *worker, uint64_t epoch)
 {
 	struct credit_worker *row, *other;
 
@@ -316,7 +316,7 @@
 }
 
 void
-credit_leaving(struct credit_book *book, const char *worker, bool leaving)
+credit_leaving(struct credit_table *book, const char *worker, bool leaving)
 {
 	struct credit_worker *row;
 
@@ -330,7 +330,7 @@
 }
 
 void
-credit_idle(struct credit_book *book, credit_idle_cb *cb, void *ctx)
+credit_idle(struct credit_table *book, credit_idle_cb *cb, void *ctx)
 {
 	struct credit_worker *row;
 	struct credit_amount low;
@@ -344,7 +344,7 @@
 }
 
 const struct credit_worker *
-credit_first(struct credit_book *book)
+credit_first(struct credit_table *book)
 {
 	return RB_MIN(credit_rows, &book->rows);
 }
@@ -356,19 +356,19 @@
 }
 
 const struct credit_worker *
-credit_find(struct credit_book *book, const char *worker)
+credit_find(struct credit_table *book, const char *worker)
 {
 	return credit_row(book, worker);
 }
 
 struct credit_amount
-credit_spare(const struct credit_book *book)
+credit_spare(const struct credit_table *book)
 {
 	return book->spare;
 }
 
 bool
-credit_forget(struct credit_book *book, const char *worker)
+credit_forget(struct credit_table *book, const char *worker)
 {
 	struct credit_worker *row;
 
--- a/core/credit.h
+++ b/core/credit.h
@@ -36,7 +36,7 @@
 	CREDIT_ERR_EMPTY, /* no credit left here */
 	CREDIT_ERR_LEAVING, /* the worker takes no new calls */
 	CREDIT_ERR_OLD_EPOCH,
-	CREDIT_ERR_MINTED, /* this epoch's credits exist already */
+	CREDIT_ERR_ISSUED, /* this epoch's credits exist already */
 	CREDIT_ERR_DUPLICATE,
 	CREDIT_ERR_TOO_OLD, /* beyond what duplicates are recognised in */
 	CREDIT_ERR_OLD_INCARNATION, /* the sender has restarted since */
@@ -44,7 +44,7 @@
 };
 
 enum credit_kind {
-	CREDIT_QUICK, /* one slot and one connection */
+	CREDIT_CALL, /* one slot and one connection */
 	CREDIT_WATCH /* one connection */
 };
 
@@ -74,7 +74,7 @@
 	char shard[CREDIT_ID_MAX];
 	char owner[CREDIT_ID_MAX];
 	uint64_t epoch;
-	bool minted; /* this entry made the credits of this epoch */
+	bool issued; /* this entry made the credits of this epoch */
 	bool leaving;
 	bool fenced; /* refused at this epoch: no credit of it is of use */
 	struct credit_amount spare; /* held here, free for a call */
@@ -83,7 +83,7 @@
 	struct credit_amount low; /* least spare since the last credit_idle */
 	/* Owner only. */
 	struct credit_amount capacity;
-	struct credit_amount at_fence; /* used then, not known to have ended */
+	struct credit_amount used_at_fence; /* used then, not known to have ended */
 	struct credit_amount lost; /* abandoned, or with dead peers */
 	struct credit_grants grants;
 };
@@ -128,17 +128,17 @@
 	struct credit_amount older; /* calls of lower epochs, if told */
 };
 
-struct credit_book;
+struct credit_table;
 
 /* NULL without memory. */
-struct credit_book *credit_open(const struct credit_options *);
-void credit_close(struct credit_book *);
+struct credit_table *credit_open(const struct credit_options *);
+void credit_close(struct credit_table *);
 
 /*
  * The owner's first answer to a fence at this epoch.  Once an epoch; a second
- * answer is taken as a report and CREDIT_ERR_MINTED is returned.
+ * answer is taken as a report and CREDIT_ERR_ISSUED is returned.
  */
-enum credit_error credit_mint(struct credit_book *, const char *worker,
+enum credit_error credit_issue(struct credit_table *, const char *worker,
     const char *shard, uint64_t epoch, struct credit_amount capacity,
     struct credit_amount used);
 
@@ -147,32 +147,32 @@
  * ran at the fence and have ended since become spare.  Without has_older only
  * as many as the total in use proves.
  */
-enum credit_error credit_report(struct credit_book *, const char *worker,
+enum credit_error credit_report(struct credit_table *, const char *worker,
     uint64_t epoch, const struct credit_usage *);
 
 /* Take a credit for one call; *epoch is what the call must carry. */
-enum credit_error credit_take(struct credit_book *, const char *worker,
+enum credit_error credit_take(struct credit_table *, const char *worker,
     enum credit_kind, uint64_t *epoch);
 /* The call is over, or out of sight. */
-enum credit_error credit_release(struct credit_book *, const char *worker,
+enum credit_error credit_release(struct credit_table *, const char *worker,
     uint64_t epoch, enum credit_kind, enum credit_end);
 
 /*
  * Give spare credits to a peer.  They are gone from the book when this
  * returns; *transfer is the message to send then.
  */
-enum credit_error credit_give(struct credit_book *, const char *worker,
+enum credit_error credit_give(struct credit_table *, const char *worker,
     const struct credit_peer *, struct credit_amount,
     struct credit_transfer *transfer);
 /* The message certainly wasn't sent: take the credits back. */
-void credit_ungive(
-    struct credit_book *, const char *peer, const struct credit_transfer *);
+void credit_give_cancel(
+    struct credit_table *, const char *peer, const struct credit_transfer *);
 
 /*
  * A message with transfers.  Refused as a whole for what the origin says;
  * transfers of older epochs are dropped and counted in *stale.
  */
-enum credit_error credit_receive(struct credit_book *,
+enum credit_error credit_receive(struct credit_table *,
     const struct credit_origin *, const struct credit_transfer *, size_t count,
     size_t *stale);
 
@@ -180,39 +180,39 @@
  * The endpoint refused with a higher epoch: what is held here of its shard is
  * void, and what comes back under the old epoch too.
  */
-void credit_fenced(struct credit_book *, const char *worker, uint64_t epoch);
+void credit_fenced(struct credit_table *, const char *worker, uint64_t epoch);
 
 /*
  * Credits that a borrowing peer abandoned, as it tells the owner, which counts
  * them as lost.
  */
-void credit_abandoned(struct credit_book *, const char *peer,
+void credit_abandoned(struct credit_table *, const char *peer,
     const char *worker, uint64_t epoch, struct credit_amount);
 
 /* Ask about each peer that has credits from here; a dead one's are lost. */
 typedef bool credit_dead_cb(const char *peer, uint64_t incarnation, void *ctx);
 /* Returns how many slots were lost so. */
-int credit_peers_dead(struct credit_book *, credit_dead_cb *, void *ctx);
+int credit_expire_peers(struct credit_table *, credit_dead_cb *, void *ctx);
 
 /*
  * A borrower's statement: so many slots of the shard it holds, spare or under
  * calls.  One that holds none says nothing.
  */
-void credit_stated(struct credit_book *, const char *peer, const char *shard,
+void credit_set_holding(struct credit_table *, const char *peer, const char *shard,
     uint64_t epoch, int slots, int64_t now_ms);
 /*
  * Slots of the shard that nobody is known to hold.  Credits on their way and
  * statements a few seconds old make it go up and down; what stays in it for
  * long was lost with a message.  Statements are forgotten after max_age_ms.
  */
-int credit_missing(struct credit_book *, const char *shard, int64_t now_ms,
+int credit_unaccounted(struct credit_table *, const char *shard, int64_t now_ms,
     int64_t max_age_ms);
 
 /* Lost slots of all workers minted here of that shard. */
-int credit_lost(struct credit_book *, const char *shard);
+int credit_lost(struct credit_table *, const char *shard);
 
 /* The spare credits of a worker that leaves don't count as spare any more. */
-void credit_leaving(struct credit_book *, const char *worker, bool leaving);
+void credit_leaving(struct credit_table *, const char *worker, bool leaving);
 
 /*
  * Offer each row whose spare credits weren't all needed since the last call:
@@ -220,18 +220,18 @@
  */
 typedef void credit_idle_cb(
     const struct credit_worker *, struct credit_amount, void *ctx);
-void credit_idle(struct credit_book *, credit_idle_cb *, void *ctx);
+void credit_idle(struct credit_table *, credit_idle_cb *, void *ctx);
 
 /* Rows in order of the worker's id; NULL at the end. */
-const struct credit_worker *credit_first(struct credit_book *);
+const struct credit_worker *credit_first(struct credit_table *);
 const struct credit_worker *credit_next(const struct credit_worker *);
-const struct credit_worker *credit_find(struct credit_book *, const char *);
+const struct credit_worker *credit_find(struct credit_table *, const char *);
 
 /* Spare credits in all rows of workers that aren't leaving. */
-struct credit_amount credit_spare(const struct credit_book *);
+struct credit_amount credit_spare(const struct credit_table *);
 
 /* Drop a worker's row once the VM is gone; refused while calls are open. */
-bool credit_forget(struct credit_book *, const char *worker);
+bool credit_forget(struct credit_table *, const char *worker);
 
 const char *credit_strerror(enum credit_error);
 
--- a/core/creditgrant.c
+++ b/core/creditgrant.c
@@ -15,10 +15,10 @@
 
 static struct credit_grant *find(struct credit_worker *, const char *);
 static void drop(struct credit_grant *);
-static struct credit_statement *statement_of(
-    struct credit_book *, const char *, const char *);
-static int stated(struct credit_book *, const char *, uint64_t);
-static void forget_before(struct credit_book *, int64_t);
+static struct credit_holding *statement_of(
+    struct credit_table *, const char *, const char *);
+static int stated(struct credit_table *, const char *, uint64_t);
+static void forget_before(struct credit_table *, int64_t);
 
 static struct credit_grant *
 find(struct credit_worker *row, const char *peer)
@@ -78,13 +78,13 @@
 }
 
 void
-credit_abandoned(struct credit_book *book, const char *peer, const char *worker,
+credit_abandoned(struct credit_table *book, const char *peer, const char *worker,
     uint64_t epoch, struct credit_amount amount)
 {
 	struct credit_worker *row;
 
 	row = credit_row(book, worker);
-	if (row == NULL || !row->minted || row->epoch != epoch ||
+	if (row == NULL || !row->issued || row->epoch != epoch ||
 	    !credit_amount_valid(amount))
 		return;
 	credit_amount_add(&row->lost, amount, 1);
@@ -92,7 +92,7 @@
 }
 
 int
-credit_peers_dead(struct credit_book *book, credit_dead_cb *is_dead, void *ctx)
+credit_expire_peers(struct credit_table *book, credit_dead_cb *is_dead, void *ctx)
 {
 	const struct credit_worker *first, *next;
 	struct credit_grant *grant, *following;
@@ -117,23 +117,23 @@
 }
 
 int
-credit_lost(struct credit_book *book, const char *shard)
+credit_lost(struct credit_table *book, const char *shard)
 {
 	const struct credit_worker *row;
 	int slots;
 
 	slots = 0;
 	for (row = credit_first(book); row != NULL; row = credit_next(row)) {
-		if (row->minted && strcmp(row->shard, shard) == 0)
+		if (row->issued && strcmp(row->shard, shard) == 0)
 			slots += row->lost.slots;
 	}
 	return slots;
 }
 
-static struct credit_statement *
-statement_of(struct credit_book *book, const char *peer, const char *shard)
+static struct credit_holding *
+statement_of(struct credit_table *book, const char *peer, const char *shard)
 {
-	struct credit_statement *st;
+	struct credit_holding *st;
 
 	LIST_FOREACH (st, &book->statements, link) {
 		if (strcmp(st->peer, peer) == 0 &&
@@ -149,10 +149,10 @@
 }
 
 void
-credit_stated(struct credit_book *book, const char *peer, const char *shard,
+credit_set_holding(struct credit_table *book, const char *peer, const char *shard,
     uint64_t epoch, int slots, int64_t now_ms)
 {
-	struct credit_statement *st;
+	struct credit_holding *st;
 
 	if ((st = statement_of(book, peer, shard)) == NULL)
 		return;
@@ -162,9 +162,9 @@
 }
 
 static void
-forget_before(struct credit_book *book, int64_t before_ms)
+forget_before(struct credit_table *book, int64_t before_ms)
 {
-	struct credit_statement *st, *next;
+	struct credit_holding *st, *next;
 
 	for (st = LIST_FIRST(&book->statements); st != NULL; st = next) {
 		next = LIST_NEXT(st, link);
@@ -176,15 +176,15 @@
 }
 
 void
-credit_forget_statements(struct credit_book *book)
+credit_free_holdings(struct credit_table *book)
 {
 	forget_before(book, INT64_MAX);
 }
 
 static int
-stated(struct credit_book *book, const char *shard, uint64_t epoch)
+stated(struct credit_table *book, const char *shard, uint64_t epoch)
 {
-	struct credit_statement *st;
+	struct credit_holding *st;
 	int slots;
 
 	slots = 0;
@@ -196,7 +196,7 @@
 }
 
 int
-credit_missing(struct credit_book *book, const char *shard, int64_t now_ms,
+credit_unaccounted(struct credit_table *book, const char *shard, int64_t now_ms,
     int64_t max_age_ms)
 {
 	const struct credit_worker *row;
@@ -207,11 +207,11 @@
 	epoch = 0;
 	slots = 0;
 	for (row = credit_first(book); row != NULL; row = credit_next(row)) {
-		if (!row->minted || row->fenced ||
+		if (!row->issued || row->fenced ||
 		    strcmp(row->shard, shard) != 0)
 			continue;
 		epoch = row->epoch > epoch ? row->epoch : epoch;
-		slots += row->capacity.slots - row->at_fence.slots -
+		slots += row->capacity.slots - row->used_at_fence.slots -
 		    row->spare.slots - row->busy.slots - row->lost.slots;
 	}
 	slots -= stated(book, shard, epoch);
--- a/core/creditmove.c
+++ b/core/creditmove.c
@@ -12,9 +12,9 @@
 static int compare_seen(const struct credit_seen *, const struct credit_seen *);
 static enum credit_error window_add(struct credit_seen *, uint64_t);
 static enum credit_error seen_check(
-    struct credit_book *, const struct credit_origin *);
+    struct credit_table *, const struct credit_origin *);
 static enum credit_error receive_one(
-    struct credit_book *, const char *, const struct credit_transfer *);
+    struct credit_table *, const char *, const struct credit_transfer *);
 
 RB_GENERATE_INTERNAL(credit_peers, credit_seen, node, compare_seen,
     __attribute__((unused)) static)
@@ -26,7 +26,7 @@
 }
 
 enum credit_error
-credit_give(struct credit_book *book, const char *worker,
+credit_give(struct credit_table *book, const char *worker,
     const struct credit_peer *to, struct credit_amount amount,
     struct credit_transfer *transfer)
 {
@@ -38,8 +38,8 @@
 		return CREDIT_ERR_UNKNOWN_WORKER;
 	if (!credit_amount_covers(row->spare, amount))
 		return CREDIT_ERR_EMPTY;
-	credit_row_spare(book, row, amount, -1);
-	if (row->minted)
+	credit_row_add_spare(book, row, amount, -1);
+	if (row->issued)
 		credit_grant_add(row, to->peer, to->incarnation, amount, 1);
 	memset(transfer, 0, sizeof(*transfer));
 	strlcpy(transfer->worker, row->worker, sizeof(transfer->worker));
@@ -51,7 +51,7 @@
 }
 
 void
-credit_ungive(struct credit_book *book, const char *peer,
+credit_give_cancel(struct credit_table *book, const char *peer,
     const struct credit_transfer *transfer)
 {
 	struct credit_worker *row;
@@ -59,8 +59,8 @@
 	row = credit_row(book, transfer->worker);
 	if (row == NULL || row->epoch != transfer->epoch)
 		return;
-	credit_row_spare(book, row, transfer->amount, 1);
-	if (row->minted)
+	credit_row_add_spare(book, row, transfer->amount, 1);
+	if (row->issued)
 		credit_grant_add(row, peer, 0, transfer->amount, -1);
 }
 
@@ -92,7 +92,7 @@
  * its former self's calls may still run, so it refuses what was sent to it.
  */
 static enum credit_error
-seen_check(struct credit_book *book, const struct credit_origin *origin)
+seen_check(struct credit_table *book, const struct credit_origin *origin)
 {
 	struct credit_seen key, *seen;
 
@@ -123,31 +123,31 @@
 }
 
 static enum credit_error
-receive_one(struct credit_book *book, const char *from,
+receive_one(struct credit_table *book, const char *from,
     const struct credit_transfer *transfer)
 {
 	struct credit_worker *row;
 
 	if (!credit_amount_valid(transfer->amount) || transfer->epoch == 0)
 		return CREDIT_ERR_INVALID;
-	row = credit_row_make(book, transfer->worker, transfer->shard);
+	row = credit_row_ensure(book, transfer->worker, transfer->shard);
 	if (row == NULL)
 		return CREDIT_ERR_MEMORY;
 	if (transfer->epoch < row->epoch ||
 	    (transfer->epoch == row->epoch && row->fenced))
 		return CREDIT_ERR_OLD_EPOCH;
 	if (transfer->epoch > row->epoch)
-		credit_row_raise(book, row, transfer->epoch);
-	if (!row->minted)
+		credit_row_set_epoch(book, row, transfer->epoch);
+	if (!row->issued)
 		strlcpy(row->owner, transfer->owner, sizeof(row->owner));
-	credit_row_spare(book, row, transfer->amount, 1);
-	if (row->minted)
+	credit_row_add_spare(book, row, transfer->amount, 1);
+	if (row->issued)
 		credit_grant_add(row, from, 0, transfer->amount, -1);
 	return CREDIT_OK;
 }
 
 enum credit_error
-credit_receive(struct credit_book *book, const struct credit_origin *origin,
+credit_receive(struct credit_table *book, const struct credit_origin *origin,
     const struct credit_transfer *transfers, size_t count, size_t *stale)
 {
 	enum credit_error error;
@@ -164,7 +164,7 @@
 }
 
 void
-credit_forget_peers(struct credit_book *book)
+credit_free_peers(struct credit_table *book)
 {
 	struct credit_seen *seen, *next;
 
--- a/core/evict.c
+++ b/core/evict.c
@@ -78,7 +78,7 @@
 	 * whether it helped.  Taken in, it would evict one task after another
 	 * for a disturbance that is already over.
 	 */
-	if (s->acted_ms != 0 && measured_ms < s->acted_ms + o->settle_ms)
+	if (s->last_action_ms != 0 && measured_ms < s->last_action_ms + o->settle_ms)
 		return;
 	s->seen++;
 	ratio = p99_ms / s->target_p99_ms;
@@ -213,7 +213,7 @@
 	option.worth = gain - option.loss;
 	if (best[1].result.index >= 0 && option.loss < best[1].loss &&
 	    option.result.share < best[1].result.share)
-		option.result.reason = EVICT_LEAST_LOSS;
+		option.result.reason = EVICT_LEAST_WORK_LOST;
 	(void)offer(&best[1], &option);
 }
 
@@ -228,12 +228,12 @@
 	int likely, guarded;
 
 	memset(best, 0, sizeof(best));
-	best[0].result = best[1].result = nothing(EVICT_NOT_WORTH);
+	best[0].result = best[1].result = nothing(EVICT_COST_TOO_HIGH);
 	likely = guarded = 0;
 	n = n < TASKS_MAX ? n : TASKS_MAX;
 	sum = parts(learnt, s->kind, t, n, now_ms, part, TASKS_MAX);
 	if (sum <= 0 || (learnt != NULL && sum < LEAST_SLOWDOWN))
-		return nothing(EVICT_NO_CAUSE);
+		return nothing(EVICT_NO_LIKELY_CAUSE);
 	for (i = 0; i < n; i++) {
 		if (part[i] / sum < o->min_share)
 			continue;
@@ -243,12 +243,12 @@
 		consider(o, s, &t[i], (int)i, part[i] / sum, best);
 	}
 	if (likely == 0)
-		return nothing(EVICT_NO_CAUSE);
+		return nothing(EVICT_NO_LIKELY_CAUSE);
 	if (guarded == likely)
 		return nothing(EVICT_PROTECTED);
 	i = best[0].result.index >= 0 ? 0 : 1;
 	if (best[i].result.index >= 0) {
-		s->acted_ms = now_ms;
+		s->last_action_ms = now_ms;
 		s->seen = 0;
 	}
 	return best[i].result;
@@ -285,7 +285,7 @@
 		return nothing(EVICT_NO_TASKS);
 	left = t[r.index].cpu_millis + spare_of(s);
 	r.action = EVICT_THROTTLE;
-	r.reason = EVICT_OVER;
+	r.reason = EVICT_CPU_OVERCOMMIT;
 	r.percent = (int)(t[r.index].percent * left / t[r.index].cpu_millis);
 	if (r.percent < SHED_MIN_PERCENT)
 		r.percent = SHED_MIN_PERCENT;
@@ -305,7 +305,7 @@
 	if (s->target_p99_ms > 0 &&
 	    (s->quiet_ms == 0 || s->measured_ms - s->quiet_ms < o->quiet_ms))
 		return r;
-	if (s->target_p99_ms <= 0 && now_ms - s->acted_ms < o->quiet_ms)
+	if (s->target_p99_ms <= 0 && now_ms - s->last_action_ms < o->quiet_ms)
 		return r;
 	for (i = 0; i < n; i++) {
 		if (t[i].percent >= 100 || t[i].percent <= 0)
@@ -322,8 +322,8 @@
 	if (r.index < 0)
 		return r;
 	r.action = EVICT_RELEASE;
-	r.reason = EVICT_QUIET;
-	s->acted_ms = now_ms;
+	r.reason = EVICT_TARGET_HELD;
+	s->last_action_ms = now_ms;
 	s->quiet_ms = 0;
 	s->seen = 0;
 	return r;
@@ -338,11 +338,11 @@
 		return shed(s, t, n);
 	if (s->target_p99_ms <= 0)
 		return release(o, s, t, n, now_ms);
-	if (s->acted_ms != 0 && s->seen == 0)
+	if (s->last_action_ms != 0 && s->seen == 0)
 		return nothing(EVICT_SETTLING);
 	if (s->pressure < o->act_pressure) {
 		if (s->pressure > 0 && s->excess > 1)
-			return nothing(EVICT_NOISE);
+			return nothing(EVICT_TOO_FEW_MISSES);
 		return release(o, s, t, n, now_ms);
 	}
 	if (n == 0)
@@ -374,25 +374,25 @@
 	switch (r) {
 	case EVICT_ON_TARGET:
 		return "on_target";
-	case EVICT_NOISE:
+	case EVICT_TOO_FEW_MISSES:
 		return "too_few_misses";
 	case EVICT_SETTLING:
 		return "last_action_settling";
 	case EVICT_NO_TASKS:
 		return "no_task";
-	case EVICT_NO_CAUSE:
+	case EVICT_NO_LIKELY_CAUSE:
 		return "no_likely_cause";
 	case EVICT_PROTECTED:
 		return "causes_protected";
-	case EVICT_NOT_WORTH:
+	case EVICT_COST_TOO_HIGH:
 		return "not_worth_it";
 	case EVICT_LIKELY_CAUSE:
 		return "likeliest_cause";
-	case EVICT_LEAST_LOSS:
+	case EVICT_LEAST_WORK_LOST:
 		return "least_work_lost";
-	case EVICT_OVER:
+	case EVICT_CPU_OVERCOMMIT:
 		return "over_processors";
-	case EVICT_QUIET:
+	case EVICT_TARGET_HELD:
 		return "on_target_long_enough";
 	}
 	return "?";
--- a/core/evict.h
+++ b/core/evict.h
@@ -24,16 +24,16 @@
 
 enum evict_reason {
 	EVICT_ON_TARGET, /* nothing: the service meets its target */
-	EVICT_NOISE, /* nothing: too few misses to be sure */
+	EVICT_TOO_FEW_MISSES, /* nothing: too few misses to be sure */
 	EVICT_SETTLING, /* nothing: the last action can't show yet */
 	EVICT_NO_TASKS, /* nothing: no task here */
-	EVICT_NO_CAUSE, /* nothing: no task here is likely the cause */
+	EVICT_NO_LIKELY_CAUSE, /* nothing: no task here is likely the cause */
 	EVICT_PROTECTED, /* nothing: the likely causes are protected */
-	EVICT_NOT_WORTH, /* nothing: costs more than it gains, as weighed */
+	EVICT_COST_TOO_HIGH, /* nothing: costs more than it gains, as weighed */
 	EVICT_LIKELY_CAUSE, /* the victim is the likeliest cause */
-	EVICT_LEAST_LOSS, /* among likely causes, it loses least work */
-	EVICT_OVER, /* throttle: the VM is over its processors */
-	EVICT_QUIET /* release: on target for long enough */
+	EVICT_LEAST_WORK_LOST, /* among likely causes, it loses least work */
+	EVICT_CPU_OVERCOMMIT, /* throttle: the VM is over its processors */
+	EVICT_TARGET_HELD /* release: on target for long enough */
 };
 
 /* Kept by the caller for one service on one worker; zeroed at first. */
@@ -43,7 +43,7 @@
 	double pressure; /* how sure we are that the target is missed, 0-1 */
 	double excess; /* smoothed p99 / target */
 	int64_t measured_ms; /* of the last measurement taken in */
-	int64_t acted_ms; /* of the last action for it */
+	int64_t last_action_ms; /* of the last action for it */
 	int64_t quiet_ms; /* since when on target, 0: not */
 	int seen; /* measurements taken in since that action */
 	double calls_share; /* calls here / mean of all VMs; 0: unknown */
--- a/core/lending.c
+++ b/core/lending.c
@@ -17,12 +17,12 @@
 
 static bool usable(const struct credit_worker *, const struct asked *);
 static const struct credit_worker *usable_from(
-    struct credit_book *, const struct credit_worker *, const struct asked *);
+    struct credit_table *, const struct credit_worker *, const struct asked *);
 static struct credit_amount spare_of(
-    struct credit_book *, const struct asked *, int *);
+    struct credit_table *, const struct asked *, int *);
 static int smaller(int, int);
 static int free_connections(struct credit_amount, int);
-static bool give_one(struct credit_book *, const struct credit_worker *,
+static bool give_one(struct credit_table *, const struct credit_worker *,
     const struct credit_peer *, struct credit_amount, struct credit_transfer *);
 
 static int
@@ -87,7 +87,7 @@
 }
 
 struct lending_load
-lending_load_of(struct credit_book *book, lending_serves *serves,
+lending_load_of(struct credit_table *book, lending_serves *serves,
     const char *service, void *ctx)
 {
 	const struct credit_worker *row;
@@ -112,7 +112,7 @@
 
 /* The first usable row from this one on, round the end of the book. */
 static const struct credit_worker *
-usable_from(struct credit_book *book, const struct credit_worker *row,
+usable_from(struct credit_table *book, const struct credit_worker *row,
     const struct asked *asked)
 {
 	for (; row != NULL; row = credit_next(row)) {
@@ -127,7 +127,7 @@
 }
 
 static struct credit_amount
-spare_of(struct credit_book *book, const struct asked *asked, int *rows)
+spare_of(struct credit_table *book, const struct asked *asked, int *rows)
 {
 	const struct credit_worker *row;
 	struct credit_amount sum;
@@ -158,7 +158,7 @@
 }
 
 static bool
-give_one(struct credit_book *book, const struct credit_worker *row,
+give_one(struct credit_table *book, const struct credit_worker *row,
     const struct credit_peer *peer, struct credit_amount want,
     struct credit_transfer *out)
 {
@@ -181,7 +181,7 @@
  * useless without a connection.
  */
 size_t
-lending_grant(struct credit_book *book, lending_serves *serves, void *ctx,
+lending_grant(struct credit_table *book, lending_serves *serves, void *ctx,
     const struct lending_request *request, unsigned int turn,
     struct credit_transfer *out, size_t max)
 {
--- a/core/lending.h
+++ b/core/lending.h
@@ -55,7 +55,7 @@
 
 /* Slots held and calls under way here for a service. */
 struct lending_load lending_load_of(
-    struct credit_book *, lending_serves *, const char *service, void *ctx);
+    struct credit_table *, lending_serves *, const char *service, void *ctx);
 
 struct lending_request {
 	const char *service;
@@ -69,7 +69,7 @@
  * half.  turn says with which worker to begin.  Fills out[0..max); returns
  * how many.
  */
-size_t lending_grant(struct credit_book *, lending_serves *, void *ctx,
+size_t lending_grant(struct credit_table *, lending_serves *, void *ctx,
     const struct lending_request *, unsigned int turn,
     struct credit_transfer *out, size_t max);
 
--- a/lagoonpind/borrow.c
+++ b/lagoonpind/borrow.c
@@ -74,7 +74,7 @@
 {
 	struct lend_demand *d;
 
-	d = demand_of(lend, service, CREDIT_QUICK);
+	d = demand_of(lend, service, CREDIT_CALL);
 	return d == NULL || now_ms - d->told_ms > WAITING_MS ? 0 : d->waiting;
 }
 
@@ -165,7 +165,7 @@
 	d->look_ms = now_ms + LOOK_MS;
 	memset(&want, 0, sizeof(want));
 	strlcpy(want.service, d->service, sizeof(want.service));
-	if (d->kind == CREDIT_QUICK) {
+	if (d->kind == CREDIT_CALL) {
 		want.load = own_load(e, d->service, now_ms);
 		want.amount.slots = want.load.needed;
 		want.amount.connections = want.load.needed;
@@ -224,7 +224,7 @@
 	waiting = 0;
 	now_ms = clock_now_ms();
 	for (i = 0; i < e->lend->ndemands; i++) {
-		if (e->lend->demands[i].kind == CREDIT_QUICK)
+		if (e->lend->demands[i].kind == CREDIT_CALL)
 			waiting += waiting_for(
 			    e->lend, e->lend->demands[i].service, now_ms);
 	}
@@ -313,7 +313,7 @@
 	if (borrow_send(e, header->from, WIRE_CREDITS, &out))
 		return;
 	for (i = 0; i < out.count; i++)
-		credit_ungive(e->lend->book, header->from, &out.items[i]);
+		credit_give_cancel(e->lend->book, header->from, &out.items[i]);
 }
 
 /* An answer; if calls still wait here, ask the next peer. */
@@ -334,7 +334,7 @@
 			continue;
 		d->asked_ms = 0;
 		for (k = 0; k < in->count; k++)
-			d->waiting -= d->kind == CREDIT_QUICK ?
+			d->waiting -= d->kind == CREDIT_CALL ?
 			    in->items[k].amount.slots :
 			    in->items[k].amount.connections;
 		if (d->waiting < 0)
--- a/lagoonpind/call_credit.c
+++ b/lagoonpind/call_credit.c
@@ -148,7 +148,7 @@
 static enum credit_kind
 credit_kind_of(enum call_lane lane)
 {
-	return lane == LANE_WATCH ? CREDIT_WATCH : CREDIT_QUICK;
+	return lane == LANE_WATCH ? CREDIT_WATCH : CREDIT_CALL;
 }
 
 /* A row of the book changed: credits came or went. */
--- a/lagoonpind/call_service.c
+++ b/lagoonpind/call_service.c
@@ -9,7 +9,7 @@
 /* Services as the operators' records and the fleet tell of them. */
 
 #define RETRY_PERCENT_DEFAULT 10
-/* In BUDGET_SLOTS, so that a quiet service may retry. */
+/* In BUDGET_BUCKETS, so that a quiet service may retry. */
 #define RETRY_RESERVE 10
 #define WEIGHT_DEFAULT 1
 
--- a/lagoonpind/claim_store.c
+++ b/lagoonpind/claim_store.c
@@ -147,7 +147,7 @@
 		if (record != NULL &&
 		    strcmp(record->nonce, c->claim.nonce) == 0)
 			c->claim_revision = record->revision;
-		claim_answered(&c->claim, result, record, clock_now_ms());
+		claim_store_answered(&c->claim, result, record, clock_now_ms());
 	}
 	claim_op_free(op);
 }
@@ -262,7 +262,7 @@
 		op = TAILQ_FIRST(&q->waiting);
 		TAILQ_REMOVE(&q->waiting, op, link);
 		q->nwaiting--;
-		claim_tell(op, CLAIM_STORE_AWAY, NULL);
+		claim_tell(op, CLAIM_STORE_UNAVAILABLE, NULL);
 	}
 }
 
--- a/lagoonpind/conf_watch.c
+++ b/lagoonpind/conf_watch.c
@@ -260,7 +260,7 @@
 	w = ctx;
 	if (w->watch == NULL)
 		return;
-	if (!conf_progress(w->conf, w->seen, revision)) {
+	if (!conf_advance(w->conf, w->seen, revision)) {
 		counter_reason("lagoonpin_conf_load_failures", "gap");
 		store_watch_close(w->watch);
 		w->watch = NULL;
--- a/lagoonpind/lend.c
+++ b/lagoonpind/lend.c
@@ -139,7 +139,7 @@
 	}
 	capacity.slots = vm->info.slots;
 	capacity.connections = vm->info.connections;
-	error = credit_mint(
+	error = credit_issue(
 	    e->lend->book, worker, vm->shard->name, epoch, capacity, used);
 	if (error != CREDIT_OK)
 		counter_reason(
@@ -203,7 +203,7 @@
 	row = credit_find(e->lend->book, worker);
 	if (end == CREDIT_ABANDONED && row != NULL && row->epoch == epoch) {
 		counter_reason("lagoonpin_lend_lost", "abandoned");
-		if (!row->minted)
+		if (!row->issued)
 			owners_abandoned(e->lend, row, kind);
 	}
 	error = credit_release(e->lend->book, worker, epoch, kind, end);
@@ -258,7 +258,7 @@
 	int missing;
 
 	missing =
-	    credit_missing(lend->book, raise->shard, now_ms, STATED_MAX_MS);
+	    credit_unaccounted(lend->book, raise->shard, now_ms, STATED_MAX_MS);
 	if (raise->looks == 0 || missing < raise->missing)
 		raise->missing = missing;
 	if (++raise->looks < MISSING_LOOKS)
@@ -301,7 +301,7 @@
 {
 	struct fleet_shard *shard;
 
-	if (credit_peers_dead(e->lend->book, is_dead, e) > 0)
+	if (credit_expire_peers(e->lend->book, is_dead, e) > 0)
 		counter_reason("lagoonpin_lend_lost", "peer_dead");
 	TAILQ_FOREACH (shard, fleet_racks(e->fleet), link)
 		recover_shard(e, shard, now_ms);
--- a/lagoonpind/lend.h
+++ b/lagoonpind/lend.h
@@ -34,7 +34,7 @@
 
 struct lend {
 	struct entry *entry;
-	struct credit_book *book;
+	struct credit_table *book;
 	struct lending_rate wants;
 	gsl_rng *rng;
 	struct lend_demand demands[LEND_DEMANDS_MAX];
--- a/lagoonpind/owners.c
+++ b/lagoonpind/owners.c
@@ -38,7 +38,7 @@
 	strlcpy(item->shard, row->shard, sizeof(item->shard));
 	strlcpy(item->owner, row->owner, sizeof(item->owner));
 	item->epoch = row->epoch;
-	item->amount.slots = kind == CREDIT_QUICK ? 1 : 0;
+	item->amount.slots = kind == CREDIT_CALL ? 1 : 0;
 	item->amount.connections = 1;
 }
 
@@ -99,7 +99,7 @@
 	int slots;
 
 	slots = row->spare.slots + row->busy.slots;
-	if (row->minted || row->fenced || slots == 0)
+	if (row->issued || row->fenced || slots == 0)
 		return;
 	for (i = 0; i < all->count; i++) {
 		item = &all->items[i];
@@ -144,7 +144,7 @@
 	if (wire_decode_transfers(payload, len, &in) != WIRE_OK)
 		return;
 	for (i = 0; i < in.count; i++)
-		credit_stated(e->lend->book, header->from, in.items[i].shard,
+		credit_set_holding(e->lend->book, header->from, in.items[i].shard,
 		    in.items[i].epoch, in.items[i].amount.slots,
 		    clock_now_ms());
 }
@@ -160,7 +160,7 @@
 	const struct member *member;
 
 	member = member_find(mesh_members(e), row->owner);
-	if (row->minted || member == NULL)
+	if (row->issued || member == NULL)
 		return;
 	back = row->spare;
 	if (e->phase == ENTRY_RUNNING)
@@ -180,7 +180,7 @@
 	if (borrow_send(e, member->record.id, WIRE_CREDITS, &transfers))
 		counter_reason("lagoonpin_lend_granted", "returned");
 	else
-		credit_ungive(
+		credit_give_cancel(
 		    e->lend->book, member->record.id, &transfers.items[0]);
 }
 
--- a/lagoonreplay/baseline.c
+++ b/lagoonreplay/baseline.c
@@ -152,7 +152,7 @@
     struct world *w, struct vm *vm, double p99_ms, int64_t measured_ms)
 {
 	if (p99_ms <= vm->service.target_p99_ms ||
-	    (vm->service.acted_ms != 0 && measured_ms < vm->service.acted_ms))
+	    (vm->service.last_action_ms != 0 && measured_ms < vm->service.last_action_ms))
 		return;
 	evict_largest(w, vm);
 }
@@ -161,8 +161,8 @@
 threshold_used(struct world *w, struct vm *vm)
 {
 	if (learn_cpu_millis(vm->learnt) <= vm->trace->capacity.cpu_millis ||
-	    (vm->service.acted_ms != 0 &&
-		w->now_ms - vm->service.acted_ms < w->trace->head.lag_ms))
+	    (vm->service.last_action_ms != 0 &&
+		w->now_ms - vm->service.last_action_ms < w->trace->head.lag_ms))
 		return;
 	evict_largest(w, vm);
 }
@@ -183,6 +183,6 @@
 	}
 	if (largest == NULL)
 		return;
-	vm->service.acted_ms = w->now_ms;
+	vm->service.last_action_ms = w->now_ms;
 	world_evict(w, largest, false);
 }
--- a/lagoonreplay/policies.c
+++ b/lagoonreplay/policies.c
@@ -27,7 +27,7 @@
 static void
 no_slow_start(struct world *w)
 {
-	w->bind.unmeasured = 0;
+	w->bind.unmeasured_max = 0;
 }
 
 const struct policy policies[] = {
--- a/tests/test_bind.cc
+++ b/tests/test_bind.cc
@@ -56,8 +56,8 @@
 	}
 
 	bind_result
-	bind(uint64_t random = 1, bind_fits fits = nullptr,
-	    bind_domain_count domain = nullptr)
+	bind(uint64_t random = 1, bind_fits_cb fits = nullptr,
+	    bind_domain_count_cb domain = nullptr)
 	{
 		std::vector<bind_worker *> all;
 		for (auto &w : workers)
@@ -92,7 +92,7 @@
 		resources left, need;
 		bind_reason want;
 	} rows[] = {
-		{ { 4000, 8000, 1 }, { 4000, 8000, 1 }, BIND_ONLY },
+		{ { 4000, 8000, 1 }, { 4000, 8000, 1 }, BIND_ONLY_FIT },
 		{ { 3999, 8000, 1 }, { 4000, 8000, 1 }, BIND_NO_FIT },
 		{ { 4000, 7999, 1 }, { 4000, 8000, 1 }, BIND_NO_FIT },
 		{ { 4000, 8000, 0 }, { 4000, 8000, 1 }, BIND_NO_FIT },
@@ -109,7 +109,7 @@
 			2 - row.left.accelerators };
 		task.reserve = row.need;
 		EXPECT_EQ(bind().reason, row.want);
-		EXPECT_EQ(bind().index, row.want == BIND_ONLY ? 0 : -1);
+		EXPECT_EQ(bind().index, row.want == BIND_ONLY_FIT ? 0 : -1);
 	}
 }
 
@@ -129,7 +129,7 @@
 TEST_F(Bind, TheCallersLastWordOnRoomCounts)
 {
 	add(6);
-	bind_fits third = [](void *, size_t i, const resources *) {
+	bind_fits_cb third = [](void *, size_t i, const resources *) {
 		return (int)(i == 3);
 	};
 	for (uint64_t r = 0; r < 20; r++)
@@ -146,16 +146,16 @@
 	} rows[] = {
 		{ "service under pressure",
 		    [](Bind *, bind_worker *w) { w->pressure = 0.9; },
-		    BIND_QUIET },
+		    BIND_LEAST_INTERFERENCE },
 		{ "it failed there",
 		    [](Bind *b, bind_worker *w) { b->task.avoid = w->id; },
-		    BIND_QUIET },
+		    BIND_LEAST_INTERFERENCE },
 		{ "fuller",
 		    [](Bind *, bind_worker *w) {
 			    w->reserved.cpu_millis += 12000;
 			    w->reserved.memory_mib += 46875;
 		    },
-		    BIND_ROOMY },
+		    BIND_MOST_ROOM },
 	};
 	for (auto &row : rows) {
 		clear();
@@ -176,7 +176,7 @@
 	learn_tenant_end(workers[2].learnt, 1, now - 1);
 	for (uint64_t r = 0; r < 8; r++) {
 		EXPECT_EQ(bind(r).index, 2);
-		EXPECT_EQ(bind(r).reason, BIND_QUIET);
+		EXPECT_EQ(bind(r).reason, BIND_LEAST_INTERFERENCE);
 	}
 }
 
@@ -197,7 +197,7 @@
 TEST_F(Bind, SpreadsAJobOverItsFailureDomains)
 {
 	add(9);
-	bind_domain_count held = [](void *, int domain) {
+	bind_domain_count_cb held = [](void *, int domain) {
 		return domain == 1 ? 0 : 4;
 	};
 	for (auto spread : { BIND_SPREAD_RACK, BIND_SPREAD_DATA_CENTER }) {
@@ -265,7 +265,7 @@
 		task.job_measured = row.measured;
 		task.urgent = row.urgent;
 		task.resumed = row.resumed;
-		EXPECT_EQ(bind().reason == BIND_UNMEASURED, row.waits);
+		EXPECT_EQ(bind().reason == BIND_JOB_NOT_MEASURED, row.waits);
 		EXPECT_EQ(bind().index < 0, row.waits);
 	}
 }
@@ -274,8 +274,8 @@
 {
 	int asked = 0;
 	add(590);
-	o.look_max = 64;
-	bind_fits never = [](void *ctx, size_t, const resources *) {
+	o.examine_max = 64;
+	bind_fits_cb never = [](void *ctx, size_t, const resources *) {
 		(*static_cast<int *>(ctx))++;
 		return 0;
 	};
--- a/tests/test_callers.cc
+++ b/tests/test_callers.cc
@@ -60,7 +60,7 @@
 	credit_worker &row = rows[worker];
 
 	strlcpy(row.worker, worker, sizeof(row.worker));
-	row.spare.slots += kind == CREDIT_QUICK ? n : 0;
+	row.spare.slots += kind == CREDIT_CALL ? n : 0;
 	row.spare.connections += n;
 	on_change(e, &row, on_change_ctx);
 }
@@ -221,7 +221,7 @@
 		fleet_apply(
 		    e.fleet, infos.data(), infos.size(), clock_now_ms());
 		for (auto &v : infos)
-			add_spare(&e, v.id, CREDIT_QUICK, slots);
+			add_spare(&e, v.id, CREDIT_CALL, slots);
 		until([&] { return watch_loaded(&e); });
 	}
 
--- a/tests/test_choose.cc
+++ b/tests/test_choose.cc
@@ -103,20 +103,20 @@
 	} rows[] = {
 		{ "far",
 		    [](Choose *, choose_endpoint *e) { e->data_center = 1; },
-		    CHOOSE_NEAR },
+		    CHOOSE_NEAREST },
 		{ "busy",
 		    [](Choose *, choose_endpoint *e) { e->in_flight = 6; },
-		    CHOOSE_IDLE },
+		    CHOOSE_FEWEST_IN_FLIGHT },
 		{ "failing",
 		    [](Choose *, choose_endpoint *e) { choose_failed(e, now); },
-		    CHOOSE_FAST },
+		    CHOOSE_LOWEST_LATENCY },
 		{ "slow",
 		    [](Choose *c, choose_endpoint *e) {
 			    for (int i = 0; i < 20; i++)
 				    choose_latency(
 					&c->o, e, c->kind, 0, 40, now);
 		    },
-		    CHOOSE_FAST },
+		    CHOOSE_LOWEST_LATENCY },
 	};
 	for (auto &row : rows) {
 		clear();
@@ -141,7 +141,7 @@
 		e.credits = 0;
 	EXPECT_EQ(pick().reason, CHOOSE_NO_CREDIT);
 	endpoints[1].credits = 1;
-	EXPECT_EQ(pick().reason, CHOOSE_ONLY);
+	EXPECT_EQ(pick().reason, CHOOSE_ONLY_CANDIDATE);
 	EXPECT_EQ(pick().index, 1);
 	EXPECT_EQ(pick(1, 1).reason, CHOOSE_NO_CREDIT);
 	endpoints[1].leaving = 1;
@@ -193,7 +193,7 @@
 
 TEST(ChooseText, NamesEveryReason)
 {
-	for (int r = CHOOSE_ONLY; r <= CHOOSE_NONE; r++)
+	for (int r = CHOOSE_ONLY_CANDIDATE; r <= CHOOSE_NONE; r++)
 		EXPECT_STRNE(choose_reason_text((choose_reason)r), "?");
 }
 
--- a/tests/test_claim.cc
+++ b/tests/test_claim.cc
@@ -56,8 +56,8 @@
 };
 
 const Answer done = { CLAIM_STORE_DONE, true, CLAIM_MARK_OPEN, 10 };
-const Answer lost = { CLAIM_STORE_LOST, false, CLAIM_MARK_OPEN, 10 };
-const Answer away = { CLAIM_STORE_AWAY, false, CLAIM_MARK_OPEN, 10 };
+const Answer lost = { CLAIM_STORE_NO_ANSWER, false, CLAIM_MARK_OPEN, 10 };
+const Answer away = { CLAIM_STORE_UNAVAILABLE, false, CLAIM_MARK_OPEN, 10 };
 const Answer absent = { CLAIM_STORE_ABSENT, false, CLAIM_MARK_OPEN, 10 };
 const Answer ours = { CLAIM_STORE_CONFLICT, true, CLAIM_MARK_OPEN, 10 };
 const Answer other = { CLAIM_STORE_CONFLICT, false, CLAIM_MARK_OPEN, 10 };
@@ -66,7 +66,7 @@
 	10 };
 const Answer found_other = { CLAIM_STORE_DONE, false, CLAIM_MARK_OPEN, 10 };
 const Answer done_old = { CLAIM_STORE_DONE, true, CLAIM_MARK_OPEN, 500 };
-const Answer lost_old = { CLAIM_STORE_LOST, false, CLAIM_MARK_OPEN, 500 };
+const Answer lost_old = { CLAIM_STORE_NO_ANSWER, false, CLAIM_MARK_OPEN, 500 };
 
 const Case cases[] = {
 	{ "plain", { done }, "create granted ", true },
@@ -121,7 +121,7 @@
 			strlcpy(r.nonce, a.ours ? c.nonce : "e2/1/1",
 			    sizeof(r.nonce));
 			r.mark = a.mark;
-			claim_answered(&c, a.result, &r, a.now_ms);
+			claim_store_answered(&c, a.result, &r, a.now_ms);
 		}
 		EXPECT_EQ(t.actions, k.actions);
 		EXPECT_EQ(claim_may_send(&c, 10), k.may_send);
@@ -138,7 +138,7 @@
 	Trace t;
 	claim_ops ops = ops_for(&t);
 	claim c = start(&ops);
-	claim_answered(&c, CLAIM_STORE_DONE, nullptr, 10);
+	claim_store_answered(&c, CLAIM_STORE_DONE, nullptr, 10);
 	EXPECT_TRUE(claim_may_send(&c, AGE_MAX_MS - 1));
 	EXPECT_FALSE(claim_may_send(&c, AGE_MAX_MS));
 	claim_finish(&c, false);
@@ -152,7 +152,7 @@
 	claim_ops ops = ops_for(&t);
 	claim c = start(&ops);
 	claim_abandon(&c);
-	claim_answered(&c, CLAIM_STORE_DONE, nullptr, 10);
+	claim_store_answered(&c, CLAIM_STORE_DONE, nullptr, 10);
 	EXPECT_EQ(t.actions, "create give_back ");
 }
 
--- a/tests/test_claim_model.cc
+++ b/tests/test_claim_model.cc
@@ -170,7 +170,7 @@
 Model::answer(World *w, int i, claim_store_result result)
 {
 	claim_record r = {};
-	if (result == CLAIM_STORE_LOST && o.skip_read_back)
+	if (result == CLAIM_STORE_NO_ANSWER && o.skip_read_back)
 		result = CLAIM_STORE_DONE;
 	if (w->holder != NOBODY) {
 		memcpy(r.nonce, w->a[w->holder].c.nonce, sizeof(r.nonce));
@@ -178,7 +178,7 @@
 		r.revision = w->revision;
 	}
 	w->a[i].op = OP_NONE;
-	claim_answered(&w->a[i].c, result, &r, w->now_ms);
+	claim_store_answered(&w->a[i].c, result, &r, w->now_ms);
 }
 
 void
@@ -249,20 +249,20 @@
 	if (!o.faults)
 		return;
 	n = w;
-	answer(&n, i, CLAIM_STORE_AWAY);
+	answer(&n, i, CLAIM_STORE_UNAVAILABLE);
 	add(n);
 	n = w;
-	answer(&n, i, CLAIM_STORE_LOST);
+	answer(&n, i, CLAIM_STORE_NO_ANSWER);
 	add(n);
 	if (a.op == OP_READ)
 		return;
 	n = w;
 	apply(&n, i, a.op, a.op_revision);
-	answer(&n, i, CLAIM_STORE_LOST);
+	answer(&n, i, CLAIM_STORE_NO_ANSWER);
 	add(n);
 	n = w;
 	delay(&n, i);
-	answer(&n, i, CLAIM_STORE_LOST);
+	answer(&n, i, CLAIM_STORE_NO_ANSWER);
 	add(n);
 }
 
--- a/tests/test_conf.cc
+++ b/tests/test_conf.cc
@@ -129,14 +129,14 @@
 
 TEST_F(Conf, RevisionMovesOnlyWithoutAGap)
 {
-	EXPECT_FALSE(conf_progress(conf, 3, 5));
+	EXPECT_FALSE(conf_advance(conf, 3, 5));
 	EXPECT_EQ(conf_revision(conf), 0);
 	EXPECT_EQ(snapshot(conf, {}, 4), CONF_OK);
-	EXPECT_TRUE(conf_progress(conf, 3, 6));
+	EXPECT_TRUE(conf_advance(conf, 3, 6));
 	EXPECT_EQ(conf_revision(conf), 6);
-	EXPECT_TRUE(conf_progress(conf, 2, 5));
+	EXPECT_TRUE(conf_advance(conf, 2, 5));
 	EXPECT_EQ(conf_revision(conf), 6);
-	EXPECT_FALSE(conf_progress(conf, 7, 9));
+	EXPECT_FALSE(conf_advance(conf, 7, 9));
 	EXPECT_EQ(conf_revision(conf), 6);
 }
 
@@ -203,11 +203,11 @@
 	tell(conf, peer);
 	EXPECT_EQ(tasks(peer, "a"), 1);
 	apply(conf, { A, 2, "" });
-	conf_progress(conf, 1, 2);
+	conf_advance(conf, 1, 2);
 	for (i = 3; i < 8; i++) {
 		snprintf(key, sizeof(key), "lp/w/team/t%d", i);
 		apply(conf, { key, i, "" });
-		conf_progress(conf, i - 1, i);
+		conf_advance(conf, i - 1, i);
 	}
 	EXPECT_EQ(conf_get(conf, A), nullptr) << "the tombstone is forgotten";
 	EXPECT_EQ(apply(conf, { A, 1, team("a", 1) }), CONF_STALE);
@@ -251,7 +251,7 @@
 	apply(conf, { "lp/w/team/c", 7, "" });
 	EXPECT_EQ(apply(conf, { A, 4, team("a", 4) }), CONF_STALE);
 	EXPECT_NE(conf_get(conf, A), nullptr);
-	conf_progress(conf, 0, 7);
+	conf_advance(conf, 0, 7);
 	EXPECT_EQ(conf_get(conf, A), nullptr);
 }
 
@@ -260,7 +260,7 @@
 	struct conf_delta e;
 
 	apply(conf, { A, 4, team("a", 4) });
-	conf_progress(conf, 0, 5);
+	conf_advance(conf, 0, 5);
 	ASSERT_EQ(conf_export(conf, 4, &e), CONF_OK);
 	EXPECT_FALSE(e.full);
 	EXPECT_EQ(conf_import(peer, &e), CONF_OK);
--- a/tests/test_conf_model.cc
+++ b/tests/test_conf_model.cc
@@ -190,7 +190,7 @@
 				do_told(e);
 			while (can_watch(nodes[e]))
 				do_event(e);
-			if (!conf_progress(nodes[e].conf, nodes[e].from,
+			if (!conf_advance(nodes[e].conf, nodes[e].from,
 				nodes[e].cursor) ||
 			    !nodes[e].watching || nodes[e].cursor < head()) {
 				do_range(e);
@@ -414,7 +414,7 @@
 
 		give(e, c);
 		n.cursor = c.revision;
-		if (!conf_progress(
+		if (!conf_advance(
 			n.conf, fault == GAP_IGNORED ? 0 : n.from, n.cursor))
 			n.watching = false;
 	}
--- a/tests/test_credit.cc
+++ b/tests/test_credit.cc
@@ -29,7 +29,7 @@
 	enum credit_error
 	Mint(uint64_t epoch, int used_slots)
 	{
-		return credit_mint(book, "w1", "r1", epoch, { 8, 64 },
+		return credit_issue(book, "w1", "r1", epoch, { 8, 64 },
 		    { used_slots, used_slots });
 	}
 	const struct credit_worker *
@@ -47,7 +47,7 @@
 	}
 
 	const struct credit_peer to = { "e2", 9 };
-	struct credit_book *book = nullptr, *peer = nullptr;
+	struct credit_table *book = nullptr, *peer = nullptr;
 	size_t stale = 0;
 };
 
@@ -57,7 +57,7 @@
 	EXPECT_EQ(CREDIT_OK, Mint(3, 5));
 	EXPECT_EQ(3, Row()->spare.slots);
 	EXPECT_EQ(59, Row()->spare.connections);
-	EXPECT_EQ(CREDIT_ERR_MINTED, Mint(3, 5));
+	EXPECT_EQ(CREDIT_ERR_ISSUED, Mint(3, 5));
 	EXPECT_EQ(CREDIT_ERR_OLD_EPOCH, Mint(2, 0));
 	EXPECT_EQ(3, credit_spare(book).slots);
 	EXPECT_EQ(CREDIT_OK, Mint(4, 9)); // more than its capacity: nothing
@@ -87,17 +87,17 @@
 	uint64_t epoch = 0;
 
 	EXPECT_EQ(CREDIT_ERR_UNKNOWN_WORKER,
-	    credit_take(book, "w1", CREDIT_QUICK, &epoch));
+	    credit_take(book, "w1", CREDIT_CALL, &epoch));
 	Mint(3, 7);
-	EXPECT_EQ(CREDIT_OK, credit_take(book, "w1", CREDIT_QUICK, &epoch));
+	EXPECT_EQ(CREDIT_OK, credit_take(book, "w1", CREDIT_CALL, &epoch));
 	EXPECT_EQ(3u, epoch);
 	EXPECT_EQ(
-	    CREDIT_ERR_EMPTY, credit_take(book, "w1", CREDIT_QUICK, &epoch));
+	    CREDIT_ERR_EMPTY, credit_take(book, "w1", CREDIT_CALL, &epoch));
 	EXPECT_EQ(CREDIT_OK, credit_take(book, "w1", CREDIT_WATCH, &epoch));
-	credit_release(book, "w1", 3, CREDIT_QUICK, CREDIT_ENDED);
+	credit_release(book, "w1", 3, CREDIT_CALL, CREDIT_ENDED);
 	EXPECT_EQ(1, Row()->spare.slots);
 	EXPECT_EQ(CREDIT_ERR_INVALID,
-	    credit_release(book, "w1", 3, CREDIT_QUICK, CREDIT_ENDED));
+	    credit_release(book, "w1", 3, CREDIT_CALL, CREDIT_ENDED));
 	credit_leaving(book, "w1", true);
 	EXPECT_EQ(0, credit_spare(book).slots);
 	EXPECT_EQ(
@@ -115,8 +115,8 @@
 	uint64_t epoch = 0;
 
 	Mint(3, 0);
-	credit_take(book, "w1", CREDIT_QUICK, &epoch);
-	credit_release(book, "w1", 3, CREDIT_QUICK, CREDIT_ABANDONED);
+	credit_take(book, "w1", CREDIT_CALL, &epoch);
+	credit_release(book, "w1", 3, CREDIT_CALL, CREDIT_ABANDONED);
 	EXPECT_EQ(7, Row()->spare.slots);
 	EXPECT_EQ(1, credit_lost(book, "r1"));
 	Mint(4, 0);
@@ -129,10 +129,10 @@
 	uint64_t epoch = 0;
 
 	Mint(3, 0);
-	credit_take(book, "w1", CREDIT_QUICK, &epoch);
+	credit_take(book, "w1", CREDIT_CALL, &epoch);
 	Mint(4, 1);
 	EXPECT_EQ(1, Row()->older.slots);
-	credit_release(book, "w1", 3, CREDIT_QUICK, CREDIT_ENDED);
+	credit_release(book, "w1", 3, CREDIT_CALL, CREDIT_ENDED);
 	EXPECT_EQ(0, Row()->older.slots);
 	EXPECT_EQ(7, Row()->spare.slots);
 }
@@ -147,17 +147,17 @@
 	uint64_t epoch = 0;
 
 	Mint(3, 0);
-	credit_take(book, "w1", CREDIT_QUICK, &epoch);
-	credit_take(book, "w1", CREDIT_QUICK, &epoch);
+	credit_take(book, "w1", CREDIT_CALL, &epoch);
+	credit_take(book, "w1", CREDIT_CALL, &epoch);
 	credit_give(book, "w1", &to, { 1, 1 }, &t);
 	credit_fenced(book, "w1", 4);
-	credit_release(book, "w1", 3, CREDIT_QUICK, CREDIT_ENDED);
+	credit_release(book, "w1", 3, CREDIT_CALL, CREDIT_ENDED);
 	EXPECT_EQ(0, Row()->spare.slots);
-	credit_ungive(book, "e2", &t);
+	credit_give_cancel(book, "e2", &t);
 	EXPECT_EQ(0, Row()->spare.slots);
 	Mint(4, 1);
 	EXPECT_EQ(7, Row()->spare.slots);
-	credit_release(book, "w1", 3, CREDIT_QUICK, CREDIT_ENDED);
+	credit_release(book, "w1", 3, CREDIT_CALL, CREDIT_ENDED);
 	EXPECT_EQ(7, Row()->spare.slots);
 }
 
@@ -204,12 +204,12 @@
 	uint64_t epoch;
 
 	Mint(3, 0);
-	credit_mint(book, "w2", "r1", 3, { 8, 64 }, { 0, 0 });
-	credit_mint(book, "w3", "r2", 3, { 8, 64 }, { 0, 0 });
-	ASSERT_EQ(CREDIT_OK, credit_take(book, "w1", CREDIT_QUICK, &epoch));
+	credit_issue(book, "w2", "r1", 3, { 8, 64 }, { 0, 0 });
+	credit_issue(book, "w3", "r2", 3, { 8, 64 }, { 0, 0 });
+	ASSERT_EQ(CREDIT_OK, credit_take(book, "w1", CREDIT_CALL, &epoch));
 	credit_fenced(book, "w1", 4);
 	EXPECT_EQ(CREDIT_OK,
-	    credit_release(book, "w1", 3, CREDIT_QUICK, CREDIT_ENDED));
+	    credit_release(book, "w1", 3, CREDIT_CALL, CREDIT_ENDED));
 	EXPECT_EQ(0, Row()->spare.slots);
 	EXPECT_EQ(0, credit_find(book, "w2")->spare.slots) << "same shard";
 	EXPECT_EQ(8, credit_find(book, "w3")->spare.slots) << "another shard";
@@ -225,20 +225,20 @@
 
 	Mint(3, 0);
 	credit_give(book, "w1", &to, { 3, 3 }, &t);
-	credit_ungive(book, "e2", &t);
+	credit_give_cancel(book, "e2", &t);
 	EXPECT_EQ(8, Row()->spare.slots);
-	EXPECT_EQ(0, credit_peers_dead(book, IsDead, &alive));
+	EXPECT_EQ(0, credit_expire_peers(book, IsDead, &alive));
 	credit_give(book, "w1", &to, { 3, 3 }, &t);
 	credit_abandoned(book, "e2", "w1", 3, { 1, 1 });
-	EXPECT_EQ(2, credit_peers_dead(book, IsDead, &alive));
+	EXPECT_EQ(2, credit_expire_peers(book, IsDead, &alive));
 	EXPECT_EQ(3, credit_lost(book, "r1"));
 	credit_give(book, "w1", &to, { 1, 1 }, &t);
 	struct credit_peer restarted = { "e2", 10 };
 	credit_give(book, "w1", &restarted, { 1, 1 }, &t);
-	EXPECT_EQ(0, credit_peers_dead(book, IsDead, &alive));
+	EXPECT_EQ(0, credit_expire_peers(book, IsDead, &alive));
 	EXPECT_EQ(4, credit_lost(book, "r1"));
 	Mint(4, 0); // a gift of the former epoch can't be taken back
-	credit_ungive(book, "e2", &t);
+	credit_give_cancel(book, "e2", &t);
 	EXPECT_EQ(8, Row()->spare.slots);
 }
 
@@ -250,19 +250,19 @@
 	uint64_t epoch = 0;
 
 	Mint(3, 1);
-	credit_take(book, "w1", CREDIT_QUICK, &epoch);
-	EXPECT_EQ(0, credit_missing(book, "r1", 1000, 500));
+	credit_take(book, "w1", CREDIT_CALL, &epoch);
+	EXPECT_EQ(0, credit_unaccounted(book, "r1", 1000, 500));
 	credit_give(book, "w1", &to, { 4, 4 }, &t);
-	EXPECT_EQ(4, credit_missing(book, "r1", 1000, 500)); // on its way
-	credit_stated(book, "e2", "r1", 3, 3, 1000);
-	credit_stated(book, "e3", "r2", 3, 1, 1000); // of another shard
-	EXPECT_EQ(1, credit_missing(book, "r1", 1400, 500));
-	credit_stated(book, "e2", "r1", 3, 4, 1400);
-	EXPECT_EQ(0, credit_missing(book, "r1", 1400, 500));
-	credit_stated(book, "e2", "r1", 2, 4, 1400); // of an older epoch
-	EXPECT_EQ(4, credit_missing(book, "r1", 1400, 500));
-	credit_stated(book, "e2", "r1", 3, 4, 1400);
-	EXPECT_EQ(4, credit_missing(book, "r1", 1901, 500)); // too old
+	EXPECT_EQ(4, credit_unaccounted(book, "r1", 1000, 500)); // on its way
+	credit_set_holding(book, "e2", "r1", 3, 3, 1000);
+	credit_set_holding(book, "e3", "r2", 3, 1, 1000); // of another shard
+	EXPECT_EQ(1, credit_unaccounted(book, "r1", 1400, 500));
+	credit_set_holding(book, "e2", "r1", 3, 4, 1400);
+	EXPECT_EQ(0, credit_unaccounted(book, "r1", 1400, 500));
+	credit_set_holding(book, "e2", "r1", 2, 4, 1400); // of an older epoch
+	EXPECT_EQ(4, credit_unaccounted(book, "r1", 1400, 500));
+	credit_set_holding(book, "e2", "r1", 3, 4, 1400);
+	EXPECT_EQ(4, credit_unaccounted(book, "r1", 1901, 500)); // too old
 }
 
 void
@@ -279,9 +279,9 @@
 	Mint(3, 0);
 	credit_idle(book, NoteIdle, &idle); // nothing known before the mint
 	EXPECT_TRUE(idle.empty());
-	credit_take(book, "w1", CREDIT_QUICK, &epoch);
-	credit_take(book, "w1", CREDIT_QUICK, &epoch);
-	credit_release(book, "w1", 3, CREDIT_QUICK, CREDIT_ENDED);
+	credit_take(book, "w1", CREDIT_CALL, &epoch);
+	credit_take(book, "w1", CREDIT_CALL, &epoch);
+	credit_release(book, "w1", 3, CREDIT_CALL, CREDIT_ENDED);
 	credit_idle(book, NoteIdle, &idle);
 	credit_idle(book, NoteIdle, &idle);
 	EXPECT_EQ((std::vector<int>{ 6, 7 }), idle);
--- a/tests/test_credit_model.cc
+++ b/tests/test_credit_model.cc
@@ -137,7 +137,7 @@
 	void
 	Mint(int e, uint64_t at, int used)
 	{
-		credit_mint(books[e], kWorker, "r1", at,
+		credit_issue(books[e], kWorker, "r1", at,
 		    { kCapacity, kCapacity }, { used, used });
 	}
 	void
@@ -145,7 +145,7 @@
 	{
 		if (c.incarnation == incarnations[c.entry] && !c.given_up)
 			credit_release(books[c.entry], kWorker, c.epoch,
-			    CREDIT_QUICK, end);
+			    CREDIT_CALL, end);
 	}
 	void Arrive(int i);
 	void Give(int from, int to);
@@ -154,7 +154,7 @@
 
 	Limits limits;
 	Break broken;
-	std::vector<struct credit_book *> books;
+	std::vector<struct credit_table *> books;
 	std::vector<uint64_t> incarnations;
 	std::vector<int> debts; // given up later than sent (kLateGiveUp)
 	std::vector<Call> calls;
@@ -229,7 +229,7 @@
 	m.epoch = m.transfer.epoch;
 	net.push_back(m);
 	if (broken == kLateGiveUp) {
-		credit_ungive(books[from], kNames[to], &m.transfer);
+		credit_give_cancel(books[from], kNames[to], &m.transfer);
 		debts[from]++;
 	}
 }
@@ -285,7 +285,7 @@
 
 	switch (x.op) {
 	case kTake:
-		if (credit_take(books[x.a], kWorker, CREDIT_QUICK, &at) ==
+		if (credit_take(books[x.a], kWorker, CREDIT_CALL, &at) ==
 		    CREDIT_OK)
 			calls.push_back(
 			    { x.a, incarnations[x.a], at, false, false });
@@ -386,9 +386,9 @@
 		add(incarnations[e]), add(debts[e]), add(r != nullptr);
 		if (r == nullptr)
 			continue;
-		add(r->epoch), add(r->minted), add(r->fenced),
+		add(r->epoch), add(r->issued), add(r->fenced),
 		    add(r->spare.slots);
-		add(r->busy.slots), add(r->older.slots), add(r->at_fence.slots);
+		add(r->busy.slots), add(r->older.slots), add(r->used_at_fence.slots);
 	}
 	add(endpoint), add(epoch), add(owner), add(repeats), add(restarts);
 	return s;
--- a/tests/test_evict.cc
+++ b/tests/test_evict.cc
@@ -238,7 +238,7 @@
 	o.tail_weight = 1;
 	o.eviction_weight = 10;
 	EXPECT_EQ(after_many(30, 8).action, EVICT_NOTHING);
-	EXPECT_EQ(decide().reason, EVICT_NOT_WORTH);
+	EXPECT_EQ(decide().reason, EVICT_COST_TOO_HIGH);
 }
 
 TEST_F(Evict, AVmThatFewCallsReachIsDefendedLess)
@@ -254,7 +254,7 @@
 {
 	tasks = { task(quiet) };
 	tasks[0].cpu_millis = 100;
-	EXPECT_EQ(after_many(60, 8).reason, EVICT_NO_CAUSE);
+	EXPECT_EQ(after_many(60, 8).reason, EVICT_NO_LIKELY_CAUSE);
 	tasks.clear();
 	EXPECT_EQ(after_many(60, 8).reason, EVICT_NO_TASKS);
 	s.target_p99_ms = 0;
@@ -269,7 +269,7 @@
 	s.used_cpu_millis = 36000;
 	evict_result r = decide();
 	EXPECT_EQ(r.action, EVICT_THROTTLE);
-	EXPECT_EQ(r.reason, EVICT_OVER);
+	EXPECT_EQ(r.reason, EVICT_CPU_OVERCOMMIT);
 	EXPECT_EQ(r.index, 1);
 	EXPECT_EQ(r.percent, 75);
 	tasks[1].percent = 10;
@@ -280,7 +280,7 @@
 {
 	for (int a = EVICT_NOTHING; a <= EVICT_STOP; a++)
 		EXPECT_STRNE(evict_action_text((evict_action)a), "?");
-	for (int r = EVICT_ON_TARGET; r <= EVICT_QUIET; r++)
+	for (int r = EVICT_ON_TARGET; r <= EVICT_TARGET_HELD; r++)
 		EXPECT_STRNE(evict_reason_text((evict_reason)r), "?");
 }
 
--- a/tests/test_lending.cc
+++ b/tests/test_lending.cc
@@ -22,7 +22,7 @@
 		struct credit_options o = { "e1", 1, nullptr, nullptr };
 		book = credit_open(&o);
 		for (int i = 0; i < 6; i++)
-			credit_mint(book, ("w" + std::to_string(i)).c_str(),
+			credit_issue(book, ("w" + std::to_string(i)).c_str(),
 			    "r1", 1, { 8, 64 }, { 0, 0 });
 		credit_leaving(book, "w5", true);
 	}
@@ -49,7 +49,7 @@
 		return n;
 	}
 
-	struct credit_book *book = nullptr;
+	struct credit_table *book = nullptr;
 	struct credit_transfer out[8];
 	struct credit_amount sum;
 };
