--- a/core/choose.c
+++ b/core/choose.c
@@ -150,7 +150,7 @@
 		return;
 	if (e->data_center != data_center)
 		ms -= 2 * o->one_way_ms;
-	learn_call(e->learnt, kind, fmax(ms, LEAST_MS), now_ms);
+	learn_call_latency(e->learnt, kind, fmax(ms, LEAST_MS), now_ms);
 }
 
 void
--- a/core/evict.c
+++ b/core/evict.c
@@ -118,7 +118,7 @@
 	sum = 0;
 	for (i = 0; i < n && i < max; i++) {
 		if (learnt != NULL)
-			part[i] = learn_part(
+			part[i] = learn_contribution(
 			    learnt, kind, t[i].kind, t[i].cpu_millis, now_ms);
 		else
 			part[i] =
--- a/core/learn.c
+++ b/core/learn.c
@@ -184,7 +184,7 @@
 }
 
 size_t
-learn_tenants(const struct learn_worker *w)
+learn_tenant_count(const struct learn_worker *w)
 {
 	size_t n;
 	int i;
@@ -221,7 +221,7 @@
 }
 
 void
-learn_shared(const struct learn_worker *w, uint64_t without, int64_t from_ms,
+learn_shared_cpus(const struct learn_worker *w, uint64_t without, int64_t from_ms,
     int64_t to_ms, double cpus[LEARN_KINDS_MAX])
 {
 	const struct learn_tenant *t;
@@ -247,7 +247,7 @@
 }
 
 double
-learn_fade(int64_t age_ms, int64_t half_life_ms)
+learn_decay(int64_t age_ms, int64_t half_life_ms)
 {
 	if (age_ms <= 0)
 		return 1;
--- a/core/learn.h
+++ b/core/learn.h
@@ -90,7 +90,7 @@
 void learn_tenant_end(struct learn_worker *, uint64_t tenant, int64_t now_ms);
 
 /* Present tenants, and what they use as far as known, in all and one. */
-size_t learn_tenants(const struct learn_worker *);
+size_t learn_tenant_count(const struct learn_worker *);
 int64_t learn_cpu_millis(const struct learn_worker *);
 int64_t learn_tenant_cpu(struct learn_worker *, uint64_t tenant);
 
@@ -111,7 +111,7 @@
     int kind, int64_t elapsed_ms, int64_t declared_ms, int64_t ended_ms);
 
 /* One call that we made ourselves, answered after ms. */
-void learn_call(struct learn_worker *, int kind, double ms, int64_t now_ms);
+void learn_call_latency(struct learn_worker *, int kind, double ms, int64_t now_ms);
 
 /*
  * The latency of a call to expect on this worker, in milliseconds: learnt
@@ -144,7 +144,7 @@
  * The part of one present tenant in the slowdown of a victim:
  * ln(slowdown) due to cpu_millis of its kind.
  */
-double learn_part(struct learn_worker *, int victim, int cause,
+double learn_contribution(struct learn_worker *, int victim, int cause,
     int64_t cpu_millis, int64_t now_ms);
 
 /* The weight of one pair, per processor, and its standard deviation. */
--- a/core/learncall.c
+++ b/core/learncall.c
@@ -32,7 +32,7 @@
 observe(struct learn_mean *m, double ms, double slowdown, int64_t now_ms,
     int64_t half_life_ms)
 {
-	m->evidence *= learn_fade(now_ms - m->at_ms, half_life_ms);
+	m->evidence *= learn_decay(now_ms - m->at_ms, half_life_ms);
 	m->evidence = fmin(m->evidence + 1, EVIDENCE_MAX);
 	m->ms += (ms - m->ms) / m->evidence;
 	m->slowdown += (slowdown - m->slowdown) / m->evidence;
@@ -40,7 +40,7 @@
 }
 
 void
-learn_call(struct learn_worker *w, int kind, double ms, int64_t now_ms)
+learn_call_latency(struct learn_worker *w, int kind, double ms, int64_t now_ms)
 {
 	struct learn_service *s;
 	struct learn *l;
@@ -71,7 +71,7 @@
 	    s->latency.evidence <= 0)
 		return expected;
 	evidence = s->latency.evidence *
-	    learn_fade(
+	    learn_decay(
 		now_ms - s->latency.at_ms, w->learn->o.latency_half_life_ms);
 	own = s->latency.ms * exp(slowdown - s->latency.slowdown);
 	return (own * evidence + expected * EVIDENCE_OTHERS) /
--- a/core/learnimpl.h
+++ b/core/learnimpl.h
@@ -23,7 +23,7 @@
 struct learn_kind {
 	char name[LEARN_KIND_NAME_MAX];
 	int service;
-	int based; /* base is known */
+	int base_known; /* base is known */
 	struct learn_weight base; /* ln of the undisturbed measurement */
 	struct learn_mean latency;
 	struct learn_ratio cpu;
@@ -75,10 +75,10 @@
  * Sum processors over the tenants that shared the window, by kind, leaving
  * out one tenant; a tenant there for half of the window counts half.
  */
-void learn_shared(const struct learn_worker *, uint64_t without,
+void learn_shared_cpus(const struct learn_worker *, uint64_t without,
     int64_t from_ms, int64_t to_ms, double cpus[LEARN_KINDS_MAX]);
 
 /* What is left of evidence of one after so long. */
-double learn_fade(int64_t age_ms, int64_t half_life_ms);
+double learn_decay(int64_t age_ms, int64_t half_life_ms);
 
 #endif /* LEARNIMPL_H */
--- a/core/learnpair.c
+++ b/core/learnpair.c
@@ -44,7 +44,7 @@
 		w.var = prior_var;
 		return w;
 	}
-	left = learn_fade(now_ms - w.at_ms, l->o.half_life_ms);
+	left = learn_decay(now_ms - w.at_ms, l->o.half_life_ms);
 	w.mean = l->o.prior_weight + (w.mean - l->o.prior_weight) * left;
 	w.var = prior_var - (prior_var - w.var) * left;
 	return w;
@@ -93,10 +93,10 @@
 
 	v = &l->kinds[victim];
 	predict(l, victim, now_ms, f);
-	if (!v->based) {
+	if (!v->base_known) {
 		v->base.mean = y - f->sum;
 		v->base.var = BASE_VAR;
-		v->based = 1;
+		v->base_known = 1;
 		return 0;
 	}
 	f->variance += v->base.var;
@@ -132,7 +132,7 @@
 	 * Who shares the VM now may have come after the measurement.  To blame
 	 * it would evict the innocent and let the cause go elsewhere.
 	 */
-	learn_shared(w, 0, measured_ms - window_ms, measured_ms, f.cpus);
+	learn_shared_cpus(w, 0, measured_ms - window_ms, measured_ms, f.cpus);
 	f.cpus[kind] = 0;
 	left = correct(w->learn, kind, log(p99_ms), measured_ms, &f, s->offset);
 	offset = s->offset + OFFSET_STEP * left;
@@ -148,7 +148,7 @@
 
 	if (elapsed_ms <= 0 || declared_ms <= 0)
 		return;
-	learn_shared(w, tenant, ended_ms - elapsed_ms, ended_ms, f.cpus);
+	learn_shared_cpus(w, tenant, ended_ms - elapsed_ms, ended_ms, f.cpus);
 	predict(w->learn, kind, ended_ms, &f);
 	y = log((double)elapsed_ms / (double)declared_ms);
 	if (job->run.count >= RUNS_MIN)
@@ -202,7 +202,7 @@
 }
 
 double
-learn_part(struct learn_worker *w, int victim, int cause, int64_t cpu_millis,
+learn_contribution(struct learn_worker *w, int victim, int cause, int64_t cpu_millis,
     int64_t now_ms)
 {
 	return learn_pair_now(w->learn, victim, cause, now_ms).mean *
--- a/core/ledger.c
+++ b/core/ledger.c
@@ -47,7 +47,7 @@
 	l->opt = *opt;
 	strlcpy(l->shard, opt->shard, sizeof(l->shard));
 	strlcpy(l->self, opt->self, sizeof(l->self));
-	l->phase = LEDGER_TAKING;
+	l->phase = LEDGER_ACQUIRING;
 	RB_INIT(&l->tree);
 	TAILQ_INIT(&l->pending);
 	TAILQ_INIT(&l->ended);
@@ -118,7 +118,7 @@
 	struct ledger_job *job;
 
 	TAILQ_FOREACH (job, &l->jobs, link) {
-		if (job->settled_at == 0 && strcmp(job->id, id) == 0)
+		if (job->removed_at == 0 && strcmp(job->id, id) == 0)
 			return job;
 	}
 	if ((job = calloc(1, sizeof(*job))) == NULL)
@@ -189,7 +189,7 @@
 	if (w == NULL)
 		return LEDGER_ERR_MEMORY;
 	t->r.state = TASK_BOUND;
-	t->run = RUN_FORMER;
+	t->run = RUN_UNFENCED;
 	t->want = r->cancel ? WANT_STOP : WANT_RUN;
 	t->reason = "waits_for_fence";
 	t->worker = w;
@@ -326,7 +326,7 @@
 
 enum ledger_error
 ledger_accept_item(struct ledger *l, const char *name, int64_t revision,
-    uint32_t left_first, uint32_t left_count)
+    uint32_t remaining_first, uint32_t remaining_count)
 {
 	struct ledger_item *item;
 
@@ -343,8 +343,8 @@
 		return LEDGER_ERR_MEMORY;
 	}
 	item->revision = revision;
-	item->left_first = left_first;
-	item->left_count = left_count;
+	item->remaining_first = remaining_first;
+	item->remaining_count = remaining_count;
 	item->changed_at = ++l->change;
 	TAILQ_INSERT_TAIL(&l->items, item, link);
 	return LEDGER_OK;
@@ -377,7 +377,7 @@
 	if (t->r.cancel || t->r.state >= TASK_DONE)
 		return 0;
 	if (t->worker == NULL) {
-		ledger_end(l, t, TASK_CANCELLED, "cancelled");
+		ledger_end_task(l, t, TASK_CANCELLED, "cancelled");
 		return 1;
 	}
 	t->r.cancel = true;
@@ -433,7 +433,7 @@
 	}
 	TAILQ_FOREACH_SAFE(job, &l->jobs, link, next_job)
 	{
-		if (job->settled_at != 0 && job->settled_at <= l->committed)
+		if (job->removed_at != 0 && job->removed_at <= l->committed)
 			job_forget(l, job);
 	}
 }
--- a/core/ledger.h
+++ b/core/ledger.h
@@ -60,7 +60,7 @@
 
 /* What may be said of an attempt on its worker. */
 enum run_state {
-	RUN_FORMER, /* bound by a former owner, the worker not yet fenced */
+	RUN_UNFENCED, /* bound by a former owner, the worker not yet fenced */
 	RUN_NO, /* certainly not running, and no start is on its way */
 	RUN_MAYBE, /* a start was sent and isn't answered */
 	RUN_YES,
@@ -83,7 +83,7 @@
 	enum task_call call; /* waiting for an answer */
 	enum task_want want;
 	bool reserved; /* holds room on its worker */
-	bool in_fence; /* the fence on its way tells about it */
+	bool fence_covers; /* the fence on its way tells about it */
 	bool repeat; /* an earlier start of this attempt had no answer */
 	uint32_t no_room; /* refusals of this attempt's start */
 	int64_t retry_at_ms;
@@ -103,7 +103,7 @@
 	uint32_t failed;
 	uint32_t cancelled;
 	uint64_t changed_at;
-	uint64_t settled_at; /* the change that took it out, 0: still here */
+	uint64_t removed_at; /* the change that took it out, 0: still here */
 };
 
 /* An inbox item that a write takes over; deleted by the same write. */
@@ -111,8 +111,8 @@
 	TAILQ_ENTRY(ledger_item) link;
 	char *name;
 	int64_t revision; /* the item's own, compared by the write */
-	uint32_t left_first; /* what stays in the inbox: the first index, */
-	uint32_t left_count; /* and how many; 0: the item is deleted */
+	uint32_t remaining_first; /* what stays in the inbox: the first index, */
+	uint32_t remaining_count; /* and how many; 0: the item is deleted */
 	uint64_t changed_at;
 };
 
@@ -142,11 +142,11 @@
 	bool fenced; /* has answered a fence of this epoch */
 	bool fence_call; /* a fence is on its way */
 	bool renew_call; /* a renewal is on its way */
-	bool ask_fence; /* a list of what runs there is wanted */
+	bool fence_wanted; /* a list of what runs there is wanted */
 	bool leaving; /* no new work, tasks are moved off */
 	bool gone; /* the VM list says that the VM is gone */
 	bool lost; /* answers nothing */
-	uint32_t silent_calls; /* calls without an answer in a row */
+	uint32_t unanswered_calls; /* calls without an answer in a row */
 	int64_t gone_ms; /* when gone was reported */
 	int64_t heard_ms; /* last answer */
 	int64_t lease_sent_ms; /* last start or renewal sent */
@@ -157,7 +157,7 @@
 };
 
 enum ledger_phase {
-	LEDGER_TAKING, /* the write that makes us owner isn't confirmed */
+	LEDGER_ACQUIRING, /* the write that makes us owner isn't confirmed */
 	LEDGER_OWNED,
 	LEDGER_RELEASING, /* handing over: nothing is sent to workers */
 	LEDGER_RELEASED,
@@ -176,7 +176,7 @@
 	LOST_OWNER, /* the record names another owner or epoch */
 	LOST_FENCED, /* a worker has seen a higher epoch */
 	LOST_RELEASED, /* handed over as planned */
-	LOST_RETAKE /* to be taken again at a higher epoch */
+	LOST_REACQUIRE /* to be taken again at a higher epoch */
 };
 
 enum call_result {
@@ -250,7 +250,7 @@
 	uint32_t lost_after; /* unanswered calls until a worker is lost */
 	uint32_t max_failures; /* of a task before it is given up */
 	uint32_t max_no_room; /* refusals before another worker is picked */
-	uint32_t settle_max; /* jobs taken out by one write; 0: no limit */
+	uint32_t max_job_removals; /* jobs taken out by one write; 0: no limit */
 	const struct ledger_actions *actions;
 	void *ctx;
 };
@@ -264,7 +264,7 @@
 	bool reading; /* a read back is on its way */
 	bool doubt; /* a worker has seen a higher epoch */
 	bool store_away; /* the last write or read had no answer */
-	uint64_t fenced_by; /* that epoch */
+	uint64_t higher_epoch; /* that epoch */
 	uint64_t epoch;
 	int64_t revision; /* of the record the next write replaces */
 	bool settled; /* no former owner can have renewed any lease */
@@ -306,17 +306,17 @@
 
 /*
  * Take the shard.  First ledger_load_task() and ledger_load_job() for what
- * the record holds, then ledger_take() with the record's head and revision
+ * the record holds, then ledger_acquire() with the record's head and revision
  * (0: no record yet, head zeroed).  min_epoch: an epoch that a worker has
  * seen, or 0.
  */
 enum ledger_error ledger_load_task(struct ledger *, const struct task_record *);
 enum ledger_error ledger_load_job(struct ledger *, const struct ledger_job *);
-void ledger_take(struct ledger *, const struct ledger_head *, int64_t revision,
+void ledger_acquire(struct ledger *, const struct ledger_head *, int64_t revision,
     uint64_t min_epoch, int64_t now_ms);
 /* Give the ownership up to take it again at a higher epoch at once; what is
  * on its way to the store for this one is outbid. */
-void ledger_retake(struct ledger *);
+void ledger_reacquire(struct ledger *);
 /* Hand over as planned; actions.lost follows once the store has it. */
 void ledger_release(struct ledger *, int64_t now_ms);
 
@@ -335,7 +335,7 @@
 /* Returns the change that a record written now includes.  The record is
  * what the ledger_*_written() tests and ledger_owner() say. */
 uint64_t ledger_begin_write(struct ledger *, int64_t now_ms);
-bool ledger_task_written(const struct ledger_task *);
+bool ledger_task_in_record(const struct ledger_task *);
 const char *ledger_owner(const struct ledger *);
 /* sent_ms: when the write was sent; a late answer confirms no more. */
 void ledger_write_done(
@@ -347,7 +347,7 @@
 void ledger_read_done(struct ledger *, const struct ledger_head *head,
     int64_t revision, int64_t sent_ms, int64_t now_ms);
 /* The store answers, or not: while it doesn't, nothing new is bound. */
-void ledger_store_answers(struct ledger *, bool answers);
+void ledger_set_store_available(struct ledger *, bool answers);
 /* The owner may act towards workers now. */
 bool ledger_may_send(const struct ledger *, int64_t now_ms);
 
@@ -359,7 +359,7 @@
 void ledger_task_id(const struct ledger_task *, char *, size_t);
 /* Take tasks over from the inbox: first the item, then its tasks. */
 enum ledger_error ledger_accept_item(struct ledger *, const char *name,
-    int64_t revision, uint32_t left_first, uint32_t left_count);
+    int64_t revision, uint32_t remaining_first, uint32_t remaining_count);
 enum ledger_error ledger_accept(struct ledger *, const struct task_record *);
 enum ledger_error ledger_bind(
     struct ledger *, struct ledger_task *, struct ledger_worker *);
--- a/core/ledger_answer.c
+++ b/core/ledger_answer.c
@@ -46,13 +46,13 @@
 heard(struct ledger_worker *w, int64_t now_ms)
 {
 	w->heard_ms = now_ms;
-	w->silent_calls = 0;
+	w->unanswered_calls = 0;
 }
 
 static void
 silent(struct ledger *l, struct ledger_worker *w)
 {
-	if (++w->silent_calls >= l->opt.lost_after)
+	if (++w->unanswered_calls >= l->opt.lost_after)
 		w->lost = true;
 }
 
@@ -101,7 +101,7 @@
 	} else if (result == RESULT_STALE) {
 		/* Stopped or finished there: the fence's list tells which. */
 		t->run = RUN_STOPPED;
-		t->in_fence = false;
+		t->fence_covers = false;
 	} else if (t->run != RUN_YES)
 		refused_start(l, t, now_ms);
 }
@@ -130,7 +130,7 @@
 	 * double the work, so the worker's list of finishes is asked first.
 	 */
 	t->run = RUN_STOPPED;
-	t->in_fence = false;
+	t->fence_covers = false;
 }
 
 void
@@ -170,7 +170,7 @@
 	if (l->opt.actions->outcome != NULL)
 		l->opt.actions->outcome(l, t, t->worker, outcome, l->opt.ctx);
 	if (outcome == OUTCOME_DONE) {
-		ledger_end(l, t, TASK_DONE, "done");
+		ledger_end_task(l, t, TASK_DONE, "done");
 		return;
 	}
 	if (outcome == OUTCOME_INTERRUPTED) {
@@ -179,7 +179,7 @@
 	}
 	t->r.failures++;
 	if (t->r.failures >= l->opt.max_failures && !t->r.cancel) {
-		ledger_end(l, t, TASK_FAILED, "failed_too_often");
+		ledger_end_task(l, t, TASK_FAILED, "failed_too_often");
 		return;
 	}
 	shift = t->r.failures > BACKOFF_SHIFT_MAX ? BACKOFF_SHIFT_MAX :
@@ -292,7 +292,7 @@
 static void
 settle_fence(struct ledger *l, struct ledger_task *t, bool runs, int64_t now_ms)
 {
-	if (!t->in_fence && t->run != RUN_FORMER) {
+	if (!t->fence_covers && t->run != RUN_UNFENCED) {
 		if (runs && t->run == RUN_MAYBE)
 			adopt(t, now_ms);
 		return;
@@ -331,7 +331,7 @@
 	TAILQ_FOREACH_SAFE(t, &w->tasks, link, next)
 	{
 		settle_fence(l, t, listed(running, nrunning, t), now_ms);
-		t->in_fence = false;
+		t->fence_covers = false;
 	}
 	stop_strays(l, w, running, nrunning, now_ms);
 }
@@ -342,7 +342,7 @@
 	if (!w->fence_call)
 		return;
 	w->fence_call = false;
-	w->ask_fence = true;
+	w->fence_wanted = true;
 	w->fence_at_ms = now_ms + l->opt.retry_ms;
 	silent(l, w);
 }
@@ -371,7 +371,7 @@
 		} else if (t->run == RUN_YES && t->call == CALL_NONE &&
 		    t->running_since_ms < w->renew_sent_ms) {
 			/* It ought to be there: ask for an exact list. */
-			w->ask_fence = true;
+			w->fence_wanted = true;
 		}
 	}
 	/* A worker repeats a finish at once until it is acknowledged. */
--- a/core/ledger_commit.c
+++ b/core/ledger_commit.c
@@ -7,7 +7,7 @@
 static bool all_fenced(struct ledger *);
 
 void
-ledger_take(struct ledger *l, const struct ledger_head *head, int64_t revision,
+ledger_acquire(struct ledger *l, const struct ledger_head *head, int64_t revision,
     uint64_t min_epoch, int64_t now_ms)
 {
 	l->epoch = head->epoch > min_epoch ? head->epoch + 1 : min_epoch + 1;
@@ -15,7 +15,7 @@
 	l->settled = revision == 0 || (head->owner[0] == '\0' && head->settled);
 	l->committed = head->change;
 	l->change = head->change + 1;
-	l->phase = LEDGER_TAKING;
+	l->phase = LEDGER_ACQUIRING;
 	l->taken_ms = now_ms;
 	l->confirmed_ms = now_ms;
 }
@@ -23,9 +23,9 @@
 void
 ledger_release(struct ledger *l, int64_t now_ms)
 {
-	if (l->phase == LEDGER_TAKING) {
+	if (l->phase == LEDGER_ACQUIRING) {
 		/* Nothing was sent in its name; the next owner outbids it. */
-		ledger_drop(l, LOST_RELEASED);
+		ledger_end_ownership(l, LOST_RELEASED);
 		return;
 	}
 	if (l->phase != LEDGER_OWNED)
@@ -37,10 +37,10 @@
 }
 
 void
-ledger_retake(struct ledger *l)
+ledger_reacquire(struct ledger *l)
 {
 	if (l->phase == LEDGER_OWNED)
-		ledger_drop(l, LOST_RETAKE);
+		ledger_end_ownership(l, LOST_REACQUIRE);
 }
 
 /*
@@ -66,7 +66,7 @@
 }
 
 bool
-ledger_task_written(const struct ledger_task *t)
+ledger_task_in_record(const struct ledger_task *t)
 {
 	return t->r.state < TASK_DONE;
 }
@@ -82,11 +82,11 @@
 	l->written = l->change;
 	n = 0;
 	TAILQ_FOREACH (job, &l->jobs, link) {
-		if (l->opt.settle_max != 0 && n >= l->opt.settle_max)
+		if (l->opt.max_job_removals != 0 && n >= l->opt.max_job_removals)
 			break;
-		if (job->open == 0 && job->settled_at == 0)
-			job->settled_at = l->change;
-		if (job->settled_at != 0)
+		if (job->open == 0 && job->removed_at == 0)
+			job->removed_at = l->change;
+		if (job->removed_at != 0)
 			n++;
 	}
 	return l->written;
@@ -102,13 +102,13 @@
 	l->store_away = false;
 	if (sent_ms > l->confirmed_ms)
 		l->confirmed_ms = sent_ms;
-	if (l->phase == LEDGER_TAKING) {
+	if (l->phase == LEDGER_ACQUIRING) {
 		l->phase = LEDGER_OWNED;
 		l->taken_ms = now_ms;
 	}
 	ledger_sweep(l);
 	if (l->release_at != 0 && l->release_at <= change)
-		ledger_drop(l, LOST_RELEASED);
+		ledger_end_ownership(l, LOST_RELEASED);
 }
 
 void
@@ -124,7 +124,7 @@
 ledger_write_refused(struct ledger *l)
 {
 	if (l->write == WRITE_SENT)
-		ledger_drop(l, LOST_CONFLICT);
+		ledger_end_ownership(l, LOST_CONFLICT);
 }
 
 void
@@ -186,16 +186,16 @@
 		 */
 		if (l->write == WRITE_UNKNOWN)
 			l->write = WRITE_IDLE;
-		if (l->phase != LEDGER_TAKING && sent_ms > l->confirmed_ms)
+		if (l->phase != LEDGER_ACQUIRING && sent_ms > l->confirmed_ms)
 			l->confirmed_ms = sent_ms;
 	} else if (is_ours(l, head)) {
 		commit_to(l, head->change, revision, sent_ms, now_ms);
 	} else {
-		ledger_drop(l, LOST_OWNER);
+		ledger_end_ownership(l, LOST_OWNER);
 		return;
 	}
 	if (l->doubt && l->phase == LEDGER_OWNED)
-		ledger_drop(l, LOST_FENCED);
+		ledger_end_ownership(l, LOST_FENCED);
 }
 
 void
@@ -203,14 +203,14 @@
 {
 	if (epoch <= l->epoch || l->phase == LEDGER_LOST)
 		return;
-	if (epoch > l->fenced_by)
-		l->fenced_by = epoch;
+	if (epoch > l->higher_epoch)
+		l->higher_epoch = epoch;
 	l->doubt = true;
 	l->read_at_ms = now_ms;
 }
 
 void
-ledger_store_answers(struct ledger *l, bool answers)
+ledger_set_store_available(struct ledger *l, bool answers)
 {
 	l->store_away = !answers;
 }
@@ -227,7 +227,7 @@
 }
 
 void
-ledger_drop(struct ledger *l, enum ledger_lost reason)
+ledger_end_ownership(struct ledger *l, enum ledger_lost reason)
 {
 	if (l->phase == LEDGER_LOST || l->phase == LEDGER_RELEASED)
 		return;
--- a/core/ledger_run.c
+++ b/core/ledger_run.c
@@ -176,12 +176,12 @@
 
 	if (w->fence_call || now_ms < w->fence_at_ms)
 		return;
-	if (w->fenced && !w->ask_fence && !w->lost)
+	if (w->fenced && !w->fence_wanted && !w->lost)
 		return;
 	w->fence_call = true;
-	w->ask_fence = false;
+	w->fence_wanted = false;
 	TAILQ_FOREACH (t, &w->tasks, link)
-		t->in_fence = t->run != RUN_MAYBE && t->call == CALL_NONE;
+		t->fence_covers = t->run != RUN_MAYBE && t->call == CALL_NONE;
 	l->opt.actions->fence(l, w, l->opt.ctx);
 }
 
@@ -205,7 +205,7 @@
 	t->repeat = t->run == RUN_MAYBE;
 	t->run = RUN_MAYBE;
 	t->call = CALL_START;
-	t->in_fence = false;
+	t->fence_covers = false;
 	t->worker->lease_sent_ms = now_ms;
 	l->opt.actions->start(l, t, l->opt.ctx);
 }
@@ -234,7 +234,7 @@
 	/* Those that wait get room in order; a large one isn't passed by. */
 	full = urgent_first(l, now_ms);
 	TAILQ_FOREACH (t, &w->tasks, link) {
-		if (!t->reserved && t->run != RUN_FORMER) {
+		if (!t->reserved && t->run != RUN_UNFENCED) {
 			full = full ||
 			    room_reserve(&w->room, &t->r.size) != ROOM_OK;
 			if (full)
@@ -254,8 +254,8 @@
 
 	TAILQ_FOREACH_SAFE(t, &w->tasks, link, next)
 	{
-		if (t->run == RUN_STOPPED && !t->in_fence)
-			w->ask_fence = true;
+		if (t->run == RUN_STOPPED && !t->fence_covers)
+			w->fence_wanted = true;
 		if (t->want == WANT_RUN || t->call != CALL_NONE ||
 		    now_ms < t->retry_at_ms)
 			continue;
@@ -263,11 +263,11 @@
 			ledger_unbind(l, t, t->reason);
 		} else if (t->run == RUN_YES && t->want == WANT_CHECKPOINT) {
 			t->call = CALL_CHECKPOINT;
-			t->in_fence = false;
+			t->fence_covers = false;
 			l->opt.actions->checkpoint(l, t, l->opt.ctx);
 		} else if (t->run == RUN_YES || t->run == RUN_MAYBE) {
 			t->call = CALL_STOP;
-			t->in_fence = false;
+			t->fence_covers = false;
 			l->opt.actions->stop(l, t, l->opt.ctx);
 		}
 	}
--- a/core/ledger_task.c
+++ b/core/ledger_task.c
@@ -46,7 +46,7 @@
 	strlcpy(t->r.worker, w->id, sizeof(t->r.worker));
 	t->run = RUN_NO;
 	t->want = WANT_RUN;
-	t->in_fence = false;
+	t->fence_covers = false;
 	t->repeat = false;
 	t->no_room = 0;
 	t->retry_at_ms = 0;
@@ -86,7 +86,7 @@
 		return LEDGER_ERR_WORKER;
 	if (w->waiting > 0 || room_reserve(&w->room, &t->r.size) != ROOM_OK)
 		return LEDGER_ERR_ROOM;
-	ledger_give_back(t);
+	ledger_release_room(t);
 	TAILQ_REMOVE(&t->worker->tasks, t, link);
 	t->reserved = true;
 	place(l, t, w);
@@ -95,7 +95,7 @@
 }
 
 void
-ledger_give_back(struct ledger_task *t)
+ledger_release_room(struct ledger_task *t)
 {
 	if (t->worker == NULL)
 		return;
@@ -110,10 +110,10 @@
 ledger_unbind(struct ledger *l, struct ledger_task *t, const char *reason)
 {
 	if (t->r.cancel) {
-		ledger_end(l, t, TASK_CANCELLED, "cancelled");
+		ledger_end_task(l, t, TASK_CANCELLED, "cancelled");
 		return;
 	}
-	ledger_give_back(t);
+	ledger_release_room(t);
 	TAILQ_REMOVE(&t->worker->tasks, t, link);
 	strlcpy(t->r.last_worker, t->r.worker, sizeof(t->r.last_worker));
 	t->r.worker[0] = '\0';
@@ -129,13 +129,13 @@
 }
 
 void
-ledger_end(struct ledger *l, struct ledger_task *t, enum task_state state,
+ledger_end_task(struct ledger *l, struct ledger_task *t, enum task_state state,
     const char *reason)
 {
 	struct ledger_job *job;
 
 	if (t->worker != NULL) {
-		ledger_give_back(t);
+		ledger_release_room(t);
 		TAILQ_REMOVE(&t->worker->tasks, t, link);
 		strlcpy(
 		    t->r.last_worker, t->r.worker, sizeof(t->r.last_worker));
@@ -164,7 +164,7 @@
     const char *reason)
 {
 	if (l->phase != LEDGER_OWNED || t->worker == NULL ||
-	    t->run == RUN_FORMER)
+	    t->run == RUN_UNFENCED)
 		return LEDGER_ERR_STATE;
 	if (t->want >= want)
 		return LEDGER_OK;
@@ -183,7 +183,7 @@
 	    sizeof(t->moved_to))
 		return LEDGER_ERR_ID;
 	t->r.moves++;
-	ledger_end(l, t, TASK_MOVED, "moved");
+	ledger_end_task(l, t, TASK_MOVED, "moved");
 	return LEDGER_OK;
 }
 
@@ -192,7 +192,7 @@
 {
 	if (l->phase != LEDGER_OWNED || t->r.state != TASK_PENDING)
 		return LEDGER_ERR_STATE;
-	ledger_end(l, t, TASK_FAILED, reason);
+	ledger_end_task(l, t, TASK_FAILED, reason);
 	return LEDGER_OK;
 }
 
--- a/core/outcome.c
+++ b/core/outcome.c
@@ -58,8 +58,8 @@
 outcome_ended(struct outcome_facts *f, enum outcome_attempt how)
 {
 	f->open--;
-	if (how == OUTCOME_ATTEMPT_DOUBTFUL)
-		f->doubtful++;
+	if (how == OUTCOME_ATTEMPT_UNKNOWN)
+		f->unknown_attempts++;
 	else if (how == OUTCOME_ATTEMPT_COMPLETE)
 		f->complete = true;
 }
@@ -69,7 +69,7 @@
 {
 	if (f->complete || f->foreign_claim)
 		return false;
-	return f->idempotent || (f->open == 0 && f->doubtful == 0);
+	return f->idempotent || (f->open == 0 && f->unknown_attempts == 0);
 }
 
 static int64_t
@@ -86,13 +86,13 @@
 bool
 outcome_may_have_run(const struct outcome_facts *f)
 {
-	return f->complete || f->open > 0 || f->doubtful > 0;
+	return f->complete || f->open > 0 || f->unknown_attempts > 0;
 }
 
 static bool
 sent_or_claimed(const struct outcome_facts *f)
 {
-	return f->open > 0 || f->doubtful > 0 || f->foreign_claim;
+	return f->open > 0 || f->unknown_attempts > 0 || f->foreign_claim;
 }
 
 /*
@@ -130,7 +130,7 @@
 }
 
 enum outcome_reason
-outcome_refusal(const char *value)
+outcome_refusal_reason(const char *value)
 {
 	if (strcmp(value, "fenced") == 0)
 		return OUTCOME_ENDPOINT_FENCED;
--- a/core/outcome.h
+++ b/core/outcome.h
@@ -58,7 +58,7 @@
 enum outcome_attempt {
 	OUTCOME_ATTEMPT_NOT_SENT, /* certainly no byte reached the endpoint */
 	OUTCOME_ATTEMPT_REFUSED, /* the endpoint said that it won't run it */
-	OUTCOME_ATTEMPT_DOUBTFUL, /* a byte may have reached the endpoint */
+	OUTCOME_ATTEMPT_UNKNOWN, /* a byte may have reached the endpoint */
 	OUTCOME_ATTEMPT_COMPLETE
 };
 
@@ -73,7 +73,7 @@
 	bool repeated;
 	bool foreign_claim; /* another attempt holds the claim of this id */
 	unsigned int open; /* attempts sent and not yet ended */
-	unsigned int doubtful; /* attempts that ended in doubt */
+	unsigned int unknown_attempts; /* attempts that ended in doubt */
 };
 
 struct outcome_answer {
@@ -102,7 +102,7 @@
     const struct outcome_facts *, enum outcome_reason, int64_t retry_after_ms);
 
 /* The reason for an endpoint's lagoonpin-not-run header value. */
-enum outcome_reason outcome_refusal(const char *value);
+enum outcome_reason outcome_refusal_reason(const char *value);
 
 const char *outcome_name(enum outcome); /* answered, not-run, unknown */
 const char *outcome_reason_name(enum outcome_reason); /* e.g. queue_full */
--- a/lagoonpind/batch.c
+++ b/lagoonpind/batch.c
@@ -217,7 +217,7 @@
 	if (s->ledger == NULL)
 		return;
 	e = s->batch->entry;
-	ledger_store_answers(s->ledger, store_reachable(e->store, now_ms));
+	ledger_set_store_available(s->ledger, store_reachable(e->store, now_ms));
 	if (!s->lost)
 		ledger_step(s->ledger, now_ms);
 	if (!s->told && s->ledger->phase == LEDGER_OWNED)
@@ -387,7 +387,7 @@
 	counter_reason("lagoonpin_epoch_raises", "credits_lost");
 	log_info("epoch_raise", "shard=%s epoch=%llu slots=%d", shard,
 	    (unsigned long long)s->ledger->epoch, slots);
-	ledger_retake(s->ledger);
+	ledger_reacquire(s->ledger);
 }
 
 void
--- a/lagoonpind/call_collect.c
+++ b/lagoonpind/call_collect.c
@@ -115,17 +115,17 @@
 		refused(a, refusal);
 	else if (r->error == HTTPC_OK && !matches(a, r->call))
 		call_collect_failed(
-		    a, OUTCOME_ATTEMPT_DOUBTFUL, OUTCOME_ANSWER_MISMATCH);
+		    a, OUTCOME_ATTEMPT_UNKNOWN, OUTCOME_ANSWER_MISMATCH);
 	else if (r->error == HTTPC_OK && a->call->answered)
 		late_answer(a, r);
 	else if (r->error == HTTPC_OK && a->call->begun)
 		call_collect_failed(
-		    a, OUTCOME_ATTEMPT_DOUBTFUL, OUTCOME_ANSWER_CUT);
+		    a, OUTCOME_ATTEMPT_UNKNOWN, OUTCOME_ANSWER_CUT);
 	else if (r->error == HTTPC_OK)
 		complete(a, r);
 	else
 		call_collect_failed(a,
-		    r->sent ? OUTCOME_ATTEMPT_DOUBTFUL :
+		    r->sent ? OUTCOME_ATTEMPT_UNKNOWN :
 			      OUTCOME_ATTEMPT_NOT_SENT,
 		    failure_of(r->error));
 }
@@ -162,7 +162,7 @@
 	ms = (double)(uv_hrtime() - a->sent_ns) / NS_PER_MS;
 	choose_answered(&a->endpoint->lanes[a->lane].ce);
 	if (a->endpoint->lanes[a->lane].ce.learnt != NULL)
-		learn_call(a->endpoint->lanes[a->lane].ce.learnt,
+		learn_call_latency(a->endpoint->lanes[a->lane].ce.learnt,
 		    c->service->kind, ms, now_ms);
 	explain_attempt(c, a, c->answered ? "late" : "answered", ms);
 }
@@ -234,7 +234,7 @@
 	struct endpoint *ep;
 
 	ep = a->endpoint;
-	reason = outcome_refusal(why);
+	reason = outcome_refusal_reason(why);
 	choose_answered(&ep->lanes[a->lane].ce);
 	if (reason == OUTCOME_ENDPOINT_LEAVING)
 		endpoint_refused_leaving(ep, clock_now_ms());
@@ -255,7 +255,7 @@
 	    now_ms >= c->item.deadline_ms)
 		return false;
 	/* What certainly didn't run has cost no endpoint anything. */
-	if (how != OUTCOME_ATTEMPT_DOUBTFUL)
+	if (how != OUTCOME_ATTEMPT_UNKNOWN)
 		return true;
 	verdict = budget_take(&c->service->budget, BUDGET_RETRY, true, now_ms);
 	if (verdict != BUDGET_GRANTED)
--- a/lagoonpind/call_watch.c
+++ b/lagoonpind/call_watch.c
@@ -68,13 +68,13 @@
 	moved = a->moved;
 	outcome_ended(&c->facts,
 	    error == HTTPC_OK ? OUTCOME_ATTEMPT_COMPLETE :
-				OUTCOME_ATTEMPT_DOUBTFUL);
+				OUTCOME_ATTEMPT_UNKNOWN);
 	explain_attempt(c, a, moved ? "moved" : httpc_strerror(error), 0);
 	/* Closing its connection gives its place at the endpoint back. */
 	attempt_end(a,
 	    error == HTTPC_OK || error == HTTPC_ERR_CANCELLED ?
 		OUTCOME_ATTEMPT_COMPLETE :
-		OUTCOME_ATTEMPT_DOUBTFUL);
+		OUTCOME_ATTEMPT_UNKNOWN);
 	if (c->answered)
 		call_free_if_over(c);
 	else if (moved)
--- a/lagoonpind/task_own.c
+++ b/lagoonpind/task_own.c
@@ -240,7 +240,7 @@
 	options.lost_after = LOST_AFTER;
 	options.max_failures = MAX_FAILURES;
 	options.max_no_room = MAX_NO_ROOM;
-	options.settle_max = SETTLE_MAX;
+	options.max_job_removals = SETTLE_MAX;
 	options.actions = &s->batch->actions;
 	options.ctx = s;
 	return ledger_open(&options);
@@ -304,7 +304,7 @@
 		return;
 	}
 	add_workers(s, now_ms);
-	ledger_take(s->ledger, &doc->head, revision, s->min_epoch, now_ms);
+	ledger_acquire(s->ledger, &doc->head, revision, s->min_epoch, now_ms);
 	s->inbox = INBOX_UNREAD;
 	s->home.home[0] = '\0';
 	log_info("shard_take",
@@ -335,8 +335,8 @@
 
 	l = s->ledger;
 	epoch = l->epoch;
-	if (l->fenced_by > s->min_epoch)
-		s->min_epoch = l->fenced_by;
+	if (l->higher_epoch > s->min_epoch)
+		s->min_epoch = l->higher_epoch;
 	log_info("shard_lost", "shard=%s epoch=%llu reason=%s", s->name,
 	    (unsigned long long)epoch, ledger_lost_name(s->lost_reason));
 	counter_reason(
--- a/lagoonpind/task_write.c
+++ b/lagoonpind/task_write.c
@@ -59,11 +59,11 @@
 	if ((text = ledger_text_open(&head)) == NULL)
 		return NULL;
 	RB_FOREACH (t, ledger_tree, &l->tree) {
-		if (ledger_task_written(t))
+		if (ledger_task_in_record(t))
 			ledger_text_task(text, &t->r);
 	}
 	TAILQ_FOREACH (job, &l->jobs, link) {
-		if (job->settled_at == 0)
+		if (job->removed_at == 0)
 			ledger_text_job(text, job);
 	}
 	return ledger_text_close(text);
@@ -116,7 +116,7 @@
 
 	s = l->data;
 	TAILQ_FOREACH (item, &l->items, link) {
-		if (item->left_count == 0) {
+		if (item->remaining_count == 0) {
 			add_op(list, STORE_DELETE, item->name, NULL);
 			continue;
 		}
@@ -129,8 +129,8 @@
 			return;
 		}
 		left = entry->item;
-		left.first = item->left_first;
-		left.count = item->left_count;
+		left.first = item->remaining_first;
+		left.count = item->remaining_count;
 		add_op(list, STORE_PUT, item->name, inbox_item_text(&left));
 	}
 }
@@ -166,13 +166,13 @@
 	json_t *o;
 
 	TAILQ_FOREACH (job, &l->jobs, link) {
-		if (job->settled_at == 0 ||
+		if (job->removed_at == 0 ||
 		    job->done + job->failed + job->cancelled == 0)
 			continue;
 		snprintf(key, sizeof(key),
 		    BATCH_JOB_PREFIX "%s/part/%s.%llu.%llu", job->id, l->shard,
 		    (unsigned long long)l->epoch,
-		    (unsigned long long)job->settled_at);
+		    (unsigned long long)job->removed_at);
 		o = json_pack("{s:I, s:I, s:I, s:I}", "done",
 		    (json_int_t)job->done, "failed", (json_int_t)job->failed,
 		    "cancelled", (json_int_t)job->cancelled, "ended_ms",
--- a/tests/ledger_world.cc
+++ b/tests/ledger_world.cc
@@ -75,7 +75,7 @@
 	c.takes_item = !TAILQ_EMPTY(&l->items);
 	RB_FOREACH (t, ledger_tree, &l->tree) {
 		ledger_task_id(t, id, sizeof(id));
-		if (ledger_task_written(t))
+		if (ledger_task_in_record(t))
 			c.record.tasks[id] = t->r;
 	}
 	of(ctx)->send(entry_of(ctx), c);
@@ -198,7 +198,7 @@
 		ledger_load_task(l, &p.second);
 	for (auto &id : vms)
 		ledger_worker_set(l, id, &one, now);
-	ledger_take(l, &store.head, revision == 1 ? 0 : revision, 0, now);
+	ledger_acquire(l, &store.head, revision == 1 ? 0 : revision, 0, now);
 	if (broken == FAULT_NO_HOLD)
 		l->settled = true;
 }
@@ -241,7 +241,7 @@
 			if (broken == FAULT_MOVE_STARTED)
 				move_started(l, w, t);
 			if ((broken == FAULT_NO_FENCE &&
-				t->run == RUN_FORMER) ||
+				t->run == RUN_UNFENCED) ||
 			    (broken == FAULT_EARLY_RELEASE &&
 				t->call == CALL_STOP) ||
 			    (broken == FAULT_LOST_START &&
@@ -536,7 +536,7 @@
 			struct ledger_task *t =
 			    ledger_find(nodes[e].ledger, "j", (uint32_t)i);
 			if (t != nullptr && t->worker != nullptr &&
-			    t->run != RUN_FORMER && t->want != WANT_STOP)
+			    t->run != RUN_UNFENCED && t->want != WANT_STOP)
 				out.push_back({ EVICT, e, i });
 		}
 	}
--- a/tests/ledger_world_key.cc
+++ b/tests/ledger_world_key.cc
@@ -64,7 +64,7 @@
 		struct ledger_ack *ack;
 		put(out,
 		    w->fenced * 16 + w->fence_call * 8 + w->renew_call * 4 +
-			w->ask_fence * 2 + w->lost);
+			w->fence_wanted * 2 + w->lost);
 		put(out, w->waiting * 2 + w->leaving);
 		put(out, w->room.used.cpu_millis);
 		put(out, w->heard_ms);
@@ -82,7 +82,7 @@
 		put(out, t->r.attempt);
 		put(out,
 		    t->r.state * 512 + t->run * 64 + t->call * 16 +
-			t->want * 4 + t->reserved * 2 + t->in_fence);
+			t->want * 4 + t->reserved * 2 + t->fence_covers);
 		put(out, t->repeat);
 		put(out, (int64_t)t->changed_at);
 		put(out, t->retry_at_ms);
--- a/tests/test_learn.cc
+++ b/tests/test_learn.cc
@@ -142,7 +142,7 @@
 		learn_tenant_start(w, 10 + i, quiet, 1000, (int64_t)i * 10);
 		learn_tenant_end(w, 10 + i, (int64_t)i * 10 + 5);
 	}
-	EXPECT_EQ(learn_tenants(w), 1u);
+	EXPECT_EQ(learn_tenant_count(w), 1u);
 	EXPECT_EQ(learn_cpu_millis(w), 6000);
 	learn_tenant_start(w, 5000, noisy, 3000, 20000);
 	learn_tenant_used(w, 5000, 4000);
@@ -181,7 +181,7 @@
 	}
 	t += minute;
 	for (int i = 0; i < 20; i++)
-		learn_call(w, service, 5, t);
+		learn_call_latency(w, service, 5, t);
 	EXPECT_NEAR(learn_latency_ms(w, service, 1, t), 5, 0.1);
 	learn_tenant_start(w, 201, noisy, 8000, t);
 	EXPECT_GT(learn_latency_ms(w, service, 1, t), 10);
@@ -192,11 +192,11 @@
 	struct learn_worker *other = learn_worker_open(l);
 	int64_t t = minute;
 	for (int i = 0; i < 20; i++)
-		learn_call(w, service, 50, t);
+		learn_call_latency(w, service, 50, t);
 	EXPECT_GT(learn_latency_ms(w, service, 1, t), 45);
 	t += 10 * minute;
 	for (int i = 0; i < 40; i++)
-		learn_call(other, service, 5, t);
+		learn_call_latency(other, service, 5, t);
 	EXPECT_LT(learn_latency_ms(w, service, 1, t), 6);
 	learn_worker_close(other);
 }
--- a/tests/test_ledger.cc
+++ b/tests/test_ledger.cc
@@ -111,7 +111,7 @@
 		l = ledger_open(&opt);
 		ASSERT_NE(l, nullptr);
 		ledger_worker_set(l, "w0", &two, now);
-		ledger_take(l, &head, 0, 0, now);
+		ledger_acquire(l, &head, 0, 0, now);
 		step();
 		commit();
 		fence_ok("w0");
@@ -395,10 +395,10 @@
 	commit();
 	ledger_worker_set(l, "w1", &one, now);
 	step();
-	ledger_store_answers(l, false);
+	ledger_set_store_available(l, false);
 	fence_ok("w1");
 	EXPECT_EQ(w0()->waiting, 2U);
-	ledger_store_answers(l, true);
+	ledger_set_store_available(l, true);
 	now += 20;
 	step();
 	EXPECT_EQ(w0()->waiting, 1U);
--- a/tests/test_outcome.cc
+++ b/tests/test_outcome.cc
@@ -42,7 +42,7 @@
 			if (way == NEVER)
 				continue;
 			outcome_sent(&f);
-			doubt |= way == OPEN || way == OUTCOME_ATTEMPT_DOUBTFUL;
+			doubt |= way == OPEN || way == OUTCOME_ATTEMPT_UNKNOWN;
 			complete |= way == OUTCOME_ATTEMPT_COMPLETE;
 			if (way != OPEN)
 				outcome_ended(
@@ -102,9 +102,9 @@
 
 TEST(Outcome, RefusalsByHeader)
 {
-	EXPECT_EQ(outcome_refusal("fenced"), OUTCOME_ENDPOINT_FENCED);
-	EXPECT_EQ(outcome_refusal("full"), OUTCOME_ENDPOINT_FULL);
-	EXPECT_EQ(outcome_refusal("leaving"), OUTCOME_ENDPOINT_LEAVING);
+	EXPECT_EQ(outcome_refusal_reason("fenced"), OUTCOME_ENDPOINT_FENCED);
+	EXPECT_EQ(outcome_refusal_reason("full"), OUTCOME_ENDPOINT_FULL);
+	EXPECT_EQ(outcome_refusal_reason("leaving"), OUTCOME_ENDPOINT_LEAVING);
 	EXPECT_STREQ(outcome_name(OUTCOME_NOT_RUN), "not-run");
 }
 
