--- a/bench/gossip_cost.c
+++ b/bench/gossip_cost.c
@@ -106,7 +106,7 @@
 		member_own_shard(nodes[i].members, shard, 3);
 		for (j = 0; j < count; j++) {
 			o = options_of(j, digest_max, seed);
-			member_registry(
+			member_registry_update(
 			    nodes[i].members, &o.self, "", totals.now_ms);
 		}
 	}
--- a/bench/skew/lend.c
+++ b/bench/skew/lend.c
@@ -45,7 +45,7 @@
 		i = (first + k) % s->entries;
 		if (i == e)
 			continue;
-		slots = lending_guess(entry->told[i],
+		slots = lending_estimate(entry->told[i],
 		    (int64_t)(s->now_us - entry->told_us[i]) / SKEW_US_PER_MS,
 		    load);
 		if (slots > best_slots) {
@@ -58,7 +58,7 @@
 			near_slots = slots;
 		}
 	}
-	if (!lending_worth(best_slots, load.held))
+	if (!lending_worthwhile(best_slots, load.held))
 		return -1;
 	if (near_slots >= load.needed || best_slots <= 2 * near_slots)
 		return near;
--- a/core/elect.c
+++ b/core/elect.c
@@ -85,7 +85,7 @@
 	e->vote_resigned = false;
 	e->read_done = false;
 	e->asked_ms = now_ms;
-	change_role(e, ELECT_ASKING);
+	change_role(e, ELECT_PRECANDIDATE);
 	e->opt.actions->request_votes(e, e->opt.ctx);
 	if (!e->reading) {
 		e->reading = true;
@@ -126,7 +126,7 @@
 		return;
 	}
 	e->taking_ms = now_ms;
-	change_role(e, ELECT_TAKING);
+	change_role(e, ELECT_CANDIDATE);
 	e->opt.actions->write_record(
 	    e, e->leader.term + 1, e->leader.revision, e->opt.ctx);
 }
@@ -139,14 +139,14 @@
 		if (now_ms >= e->retry_ms && suspects(e, now_ms))
 			start_asking(e, now_ms);
 		break;
-	case ELECT_ASKING:
+	case ELECT_PRECANDIDATE:
 		if (!suspects(e, now_ms))
 			change_role(e, ELECT_FOLLOWER);
 		else if (now_ms - e->asked_ms >= ASK_MS ||
 		    (e->read_done && may_take(e, now_ms)))
 			decide(e, now_ms);
 		break;
-	case ELECT_TAKING:
+	case ELECT_CANDIDATE:
 	case ELECT_LEADER:
 		break;
 	}
@@ -165,7 +165,7 @@
 }
 
 bool
-elect_beat(struct elect *e, const struct elect_leader *leader, bool has_store,
+elect_heartbeat(struct elect *e, const struct elect_leader *leader, bool has_store,
     uint32_t rank, uint32_t members, int64_t now_ms)
 {
 	if (leader->term < e->leader.term)
@@ -184,7 +184,7 @@
 }
 
 bool
-elect_grants(const struct elect *e, uint64_t term, int64_t now_ms)
+elect_grants_vote(const struct elect *e, uint64_t term, int64_t now_ms)
 {
 	if (term < e->leader.term || e->role == ELECT_LEADER)
 		return false;
@@ -197,7 +197,7 @@
 void
 elect_vote(struct elect *e, uint64_t term, bool grant, bool resigned)
 {
-	if (e->role != ELECT_ASKING || term != e->leader.term)
+	if (e->role != ELECT_PRECANDIDATE || term != e->leader.term)
 		return;
 	if (grant)
 		e->grants++;
@@ -213,7 +213,7 @@
 	if (term != e->leader.term || e->role == ELECT_LEADER)
 		return;
 	e->leader_resigned = true;
-	e->gone_alone = alone;
+	e->no_active_leader = alone;
 	e->heard_ms = now_ms - SILENCE_MS;
 	e->retry_ms = 0;
 }
@@ -231,7 +231,7 @@
 	if (record == NULL) {
 		elect_store_failed(e, now_ms);
 		/* An unknown take stays open until the record is read. */
-		if (e->role == ELECT_TAKING)
+		if (e->role == ELECT_CANDIDATE)
 			e->retry_ms = now_ms + RETRY_MS;
 		return;
 	}
@@ -249,12 +249,12 @@
 	}
 	if (strcmp(record->leader.id, e->opt.self) == 0 &&
 	    record->leader.incarnation == e->opt.incarnation &&
-	    e->role == ELECT_TAKING) {
-		elect_taken(e, TAKE_DONE, record->leader.revision, now_ms);
+	    e->role == ELECT_CANDIDATE) {
+		elect_write_done(e, ELECT_WRITE_DONE, record->leader.revision, now_ms);
 		return;
 	}
 	if (e->role == ELECT_LEADER) {
-		elect_lost(e, now_ms);
+		elect_step_down(e, now_ms);
 		return;
 	}
 	adopt(e, &record->leader, now_ms);
@@ -264,13 +264,13 @@
 }
 
 void
-elect_taken(
-    struct elect *e, enum elect_take result, int64_t revision, int64_t now_ms)
+elect_write_done(
+    struct elect *e, enum elect_write_result result, int64_t revision, int64_t now_ms)
 {
-	if (e->role != ELECT_TAKING)
+	if (e->role != ELECT_CANDIDATE)
 		return;
-	if (result == TAKE_DONE) {
-		e->former_over = e->leader_resigned && e->gone_alone;
+	if (result == ELECT_WRITE_DONE) {
+		e->no_former_leader = e->leader_resigned && e->no_active_leader;
 		strlcpy(e->leader.id, e->opt.self, sizeof(e->leader.id));
 		strlcpy(e->leader.address, e->opt.address,
 		    sizeof(e->leader.address));
@@ -282,12 +282,12 @@
 		change_role(e, ELECT_LEADER);
 		return;
 	}
-	e->retry_ms = now_ms + (result == TAKE_UNKNOWN ? RETRY_MS : 0);
+	e->retry_ms = now_ms + (result == ELECT_WRITE_UNKNOWN ? RETRY_MS : 0);
 	change_role(e, ELECT_FOLLOWER);
 }
 
 void
-elect_lost(struct elect *e, int64_t now_ms)
+elect_step_down(struct elect *e, int64_t now_ms)
 {
 	e->heard_ms = now_ms;
 	e->retry_ms = now_ms + RETRY_MS;
--- a/core/elect.h
+++ b/core/elect.h
@@ -29,7 +29,7 @@
 	int64_t revision; /* of its record in the store */
 };
 
-enum elect_role { ELECT_FOLLOWER, ELECT_ASKING, ELECT_TAKING, ELECT_LEADER };
+enum elect_role { ELECT_FOLLOWER, ELECT_PRECANDIDATE, ELECT_CANDIDATE, ELECT_LEADER };
 
 /* What a read of the leader's record and pulse gave. */
 struct elect_record {
@@ -82,18 +82,18 @@
 	int64_t pulse_revision;
 	int64_t pulse_ms; /* when that revision was first seen */
 	int64_t taking_ms;
-	bool gone_alone; /* and that nobody before it acts any more */
-	bool former_over; /* nobody that led before us still acts */
+	bool no_active_leader; /* and that nobody before it acts any more */
+	bool no_former_leader; /* nobody that led before us still acts */
 };
 
 void elect_init(struct elect *, const struct elect_options *, int64_t now_ms);
 void elect_tick(struct elect *, int64_t now_ms);
 
 /* A beat of a leader; false: an earlier one than that we know. */
-bool elect_beat(struct elect *, const struct elect_leader *, bool has_store,
+bool elect_heartbeat(struct elect *, const struct elect_leader *, bool has_store,
     uint32_t rank, uint32_t members, int64_t now_ms);
 /* Should a member that asks about the leader of that term take over? */
-bool elect_grants(const struct elect *, uint64_t term, int64_t now_ms);
+bool elect_grants_vote(const struct elect *, uint64_t term, int64_t now_ms);
 void elect_vote(struct elect *, uint64_t term, bool grant, bool resigned);
 /*
  * The leader of that term leads no more.  alone: nor does any before it act, as
@@ -105,10 +105,10 @@
 /* record NULL: the read failed. */
 void elect_read(struct elect *, const struct elect_record *, int64_t now_ms);
 
-enum elect_take { TAKE_DONE, TAKE_REFUSED, TAKE_UNKNOWN };
-void elect_taken(
-    struct elect *, enum elect_take, int64_t revision, int64_t now_ms);
+enum elect_write_result { ELECT_WRITE_DONE, ELECT_WRITE_CONFLICT, ELECT_WRITE_UNKNOWN };
+void elect_write_done(
+    struct elect *, enum elect_write_result, int64_t revision, int64_t now_ms);
 /* Somebody leads a later term, or we give up the lead. */
-void elect_lost(struct elect *, int64_t now_ms);
+void elect_step_down(struct elect *, int64_t now_ms);
 
 #endif /* ELECT_H */
--- a/core/gossip.c
+++ b/core/gossip.c
@@ -180,13 +180,13 @@
 
 void
 gossip_send(
-    struct members *m, struct member *target, bool with_ask, int64_t now_ms)
+    struct members *m, struct member *target, bool probe_requested, int64_t now_ms)
 {
 	struct member_digest digest;
 
 	if (target == NULL || target->record.address[0] == '\0')
 		return;
-	digest.probe = with_ask;
+	digest.probe = probe_requested;
 	digest.nrecords = 0;
 	digest.nshards = 0;
 	put_record(&digest, &m->self, true);
@@ -201,7 +201,7 @@
  * heartbeat's time to answer.
  */
 void
-gossip_ask(struct members *m, struct member *member, int64_t now_ms)
+gossip_probe(struct members *m, struct member *member, int64_t now_ms)
 {
 	if (member->probed_ms != 0)
 		return;
@@ -220,11 +220,11 @@
 	{
 		if (asks == ASKS_MAX || !member_silent(m, member, now_ms))
 			return;
-		if (!member_accused(m, member) ||
+		if (!member_unregistered_or_gone(m, member) ||
 		    member->record.state == MEMBER_LEFT ||
 		    member->probed_ms != 0)
 			continue;
-		gossip_ask(m, member, now_ms);
+		gossip_probe(m, member, now_ms);
 		asks++;
 	}
 }
--- a/core/health.c
+++ b/core/health.c
@@ -106,7 +106,7 @@
 }
 
 enum health_verdict
-health_judge(const struct health_options *o, const struct health_job *j,
+health_evaluate(const struct health_options *o, const struct health_job *j,
     const struct resources *declared, const struct resources *largest)
 {
 	if (declared->cpu_millis > largest->cpu_millis ||
--- a/core/health.h
+++ b/core/health.h
@@ -74,7 +74,7 @@
 void health_probe_dropped(struct health_worker *);
 
 /* May this job run at all?  largest is the largest VM in each dimension. */
-enum health_verdict health_judge(const struct health_options *,
+enum health_verdict health_evaluate(const struct health_options *,
     const struct health_job *, const struct resources *declared,
     const struct resources *largest);
 
--- a/core/kept.c
+++ b/core/kept.c
@@ -13,7 +13,7 @@
 	LIST_ENTRY(item) link;
 	TAILQ_ENTRY(item) age_link;
 	uint64_t hash;
-	int64_t kept_ms;
+	int64_t stored_ms;
 	size_t bytes;
 	int status;
 	char *id;
@@ -26,7 +26,7 @@
 TAILQ_HEAD(item_queue, item);
 
 struct response_cache {
-	struct kept_options o;
+	struct response_cache_options o;
 	struct item_list table[TABLE_SIZE];
 	struct item_queue ages; /* oldest first */
 	size_t answers;
@@ -45,7 +45,7 @@
 }
 
 struct response_cache *
-kept_open(const struct kept_options *o)
+response_cache_open(const struct response_cache_options *o)
 {
 	struct response_cache *k;
 	int i;
@@ -60,7 +60,7 @@
 }
 
 void
-kept_close(struct response_cache *k)
+response_cache_close(struct response_cache *k)
 {
 	struct item *it, *next;
 
@@ -72,7 +72,7 @@
 }
 
 uint64_t
-kept_hash(const struct kept_key *key)
+response_cache_hash(const struct response_cache_key *key)
 {
 	uint64_t hash;
 
@@ -115,8 +115,8 @@
 
 	for (it = TAILQ_FIRST(&k->ages); it != NULL; it = next) {
 		next = TAILQ_NEXT(it, age_link);
-		if (now_ms - it->kept_ms < k->o.keep_ms &&
-		    k->answers < k->o.answers_max &&
+		if (now_ms - it->stored_ms < k->o.keep_ms &&
+		    k->answers < k->o.entries_max &&
 		    k->bytes + bytes <= k->o.bytes_max)
 			return;
 		item_free(k, it);
@@ -124,8 +124,8 @@
 }
 
 void
-kept_put(struct response_cache *k, const char *id, uint64_t hash,
-    const struct kept_answer *a, int64_t now_ms)
+response_cache_put(struct response_cache *k, const char *id, uint64_t hash,
+    const struct cached_response *a, int64_t now_ms)
 {
 	struct item *it;
 	size_t bytes;
@@ -145,7 +145,7 @@
 	it->len = a->len;
 	it->hash = hash;
 	it->status = a->status;
-	it->kept_ms = now_ms;
+	it->stored_ms = now_ms;
 	it->bytes = bytes;
 	LIST_INSERT_HEAD(list_of(k, id), it, link);
 	TAILQ_INSERT_TAIL(&k->ages, it, age_link);
@@ -161,13 +161,13 @@
 }
 
 int
-kept_get(struct response_cache *k, const char *id, uint64_t hash,
-    int64_t now_ms, struct kept_answer *a)
+response_cache_get(struct response_cache *k, const char *id, uint64_t hash,
+    int64_t now_ms, struct cached_response *a)
 {
 	struct item *it;
 
 	if ((it = find(k, id, hash)) == NULL ||
-	    now_ms - it->kept_ms >= k->o.keep_ms)
+	    now_ms - it->stored_ms >= k->o.keep_ms)
 		return -1;
 	a->status = it->status;
 	a->type = it->type;
--- a/core/kept.h
+++ b/core/kept.h
@@ -14,7 +14,7 @@
 
 struct response_cache;
 
-struct kept_key {
+struct response_cache_key {
 	const char *id;
 	const char *team;
 	const char *service;
@@ -22,32 +22,32 @@
 	size_t len;
 };
 
-struct kept_answer {
+struct cached_response {
 	int status;
 	const char *type; /* content-type, or "" */
 	const char *body;
 	size_t len;
 };
 
-struct kept_options {
-	size_t answers_max;
+struct response_cache_options {
+	size_t entries_max;
 	size_t bytes_max;
 	int64_t keep_ms;
 };
 
 /* NULL without memory. */
-struct response_cache *kept_open(const struct kept_options *);
-void kept_close(struct response_cache *);
+struct response_cache *response_cache_open(const struct response_cache_options *);
+void response_cache_close(struct response_cache *);
 
 /* The hash by which a request is told from another one with its id. */
-uint64_t kept_hash(const struct kept_key *);
+uint64_t response_cache_hash(const struct response_cache_key *);
 
 /* Copies the answer; one that is too large, or no memory: not kept. */
-void kept_put(struct response_cache *, const char *id, uint64_t hash,
-    const struct kept_answer *, int64_t now_ms);
+void response_cache_put(struct response_cache *, const char *id, uint64_t hash,
+    const struct cached_response *, int64_t now_ms);
 
 /* 0, or -1 if there is none.  The answer is valid until the next call. */
-int kept_get(struct response_cache *, const char *id, uint64_t hash,
-    int64_t now_ms, struct kept_answer *);
+int response_cache_get(struct response_cache *, const char *id, uint64_t hash,
+    int64_t now_ms, struct cached_response *);
 
 #endif /* KEPT_H */
--- a/core/lending.c
+++ b/core/lending.c
@@ -10,7 +10,7 @@
 #define BACKLOG_MIN 2
 
 struct asked {
-	lending_serves *serves;
+	lending_filter *serves;
 	const char *service;
 	void *ctx;
 };
@@ -45,7 +45,7 @@
 }
 
 int
-lending_fair(struct lending_load lender, struct lending_load borrower)
+lending_fair_share(struct lending_load lender, struct lending_load borrower)
 {
 	int64_t slots;
 
@@ -63,31 +63,31 @@
 {
 	int fair, half;
 
-	fair = lending_fair(lender, borrower);
+	fair = lending_fair_share(lender, borrower);
 	half = (spare + 1) / 2;
 	return smaller(smaller(wanted, fair > half ? fair : half), spare);
 }
 
 bool
-lending_worth(int offer, int held)
+lending_worthwhile(int offer, int held)
 {
 	return offer > 0 && offer * WORTH_SHARE >= held;
 }
 
 int
-lending_guess(struct lending_load told, int64_t age_ms, struct lending_load own)
+lending_estimate(struct lending_load told, int64_t age_ms, struct lending_load own)
 {
 	int offer;
 
-	offer = lending_fair(told, own);
-	if (lending_worth(offer, own.held) || told.held == 0 ||
+	offer = lending_fair_share(told, own);
+	if (lending_worthwhile(offer, own.held) || told.held == 0 ||
 	    age_ms < STALE_MS)
 		return offer;
 	return own.held / WORTH_SHARE + 1;
 }
 
 struct lending_load
-lending_load_of(struct credit_table *book, lending_serves *serves,
+lending_load_of(struct credit_table *book, lending_filter *serves,
     const char *service, void *ctx)
 {
 	const struct credit_worker *row;
@@ -181,7 +181,7 @@
  * useless without a connection.
  */
 size_t
-lending_grant(struct credit_table *book, lending_serves *serves, void *ctx,
+lending_grant(struct credit_table *book, lending_filter *serves, void *ctx,
     const struct lending_request *request, unsigned int turn,
     struct credit_transfer *out, size_t max)
 {
--- a/core/lending.h
+++ b/core/lending.h
@@ -25,7 +25,7 @@
  * How many slots the lender should give so that both hold in proportion to
  * what they need; never below 0.
  */
-int lending_fair(struct lending_load lender, struct lending_load borrower);
+int lending_fair_share(struct lending_load lender, struct lending_load borrower);
 
 /*
  * How many of its spare slots the lender gives: what is fair, but at least
@@ -39,23 +39,23 @@
  * sixteenth of them: below that the next call that ends serves as well, and
  * under full load all entries would keep asking each other.
  */
-bool lending_worth(int offer, int held);
+bool lending_worthwhile(int offer, int held);
 
 /*
  * What a peer may offer that told its load so long ago.  Old news that it has
  * nothing to spare isn't believed: it is worth one request, whose answer
  * brings new ones.
  */
-int lending_guess(
+int lending_estimate(
     struct lending_load told, int64_t age_ms, struct lending_load own);
 
 /* Is the worker one of the service asked for, and able to take calls? */
-typedef bool lending_serves(
+typedef bool lending_filter(
     const struct credit_worker *, const char *service, void *ctx);
 
 /* Slots held and calls under way here for a service. */
 struct lending_load lending_load_of(
-    struct credit_table *, lending_serves *, const char *service, void *ctx);
+    struct credit_table *, lending_filter *, const char *service, void *ctx);
 
 struct lending_request {
 	const char *service;
@@ -69,7 +69,7 @@
  * half.  turn says with which worker to begin.  Fills out[0..max); returns
  * how many.
  */
-size_t lending_grant(struct credit_table *, lending_serves *, void *ctx,
+size_t lending_grant(struct credit_table *, lending_filter *, void *ctx,
     const struct lending_request *, unsigned int turn,
     struct credit_transfer *out, size_t max);
 
--- a/core/member.c
+++ b/core/member.c
@@ -145,7 +145,7 @@
 
 /* Does a witness other than silence speak against it? */
 bool
-member_accused(const struct members *m, const struct member *member)
+member_unregistered_or_gone(const struct members *m, const struct member *member)
 {
 	if (member->vm == MEMBER_VM_GONE)
 		return true;
@@ -234,7 +234,7 @@
 }
 
 bool
-member_acting(const struct members *m, int64_t now_ms)
+member_may_act(const struct members *m, int64_t now_ms)
 {
 	if (now_ms - m->ticked_ms >= m->options.pause_ms)
 		return false;
@@ -242,7 +242,7 @@
 }
 
 void
-member_registry(struct members *m, const struct member_record *record,
+member_registry_update(struct members *m, const struct member_record *record,
     const char *listen, int64_t now_ms)
 {
 	struct member_record *known;
@@ -272,7 +272,7 @@
 }
 
 void
-member_registry_gone(struct members *m, const char *id, int64_t now_ms)
+member_registry_remove(struct members *m, const char *id, int64_t now_ms)
 {
 	struct member *member;
 
@@ -280,7 +280,7 @@
 		return;
 	member->registered = false;
 	if (now_ms - member->heard_ms > m->options.heartbeat_ms)
-		gossip_ask(m, member, now_ms);
+		gossip_probe(m, member, now_ms);
 }
 
 void
@@ -299,14 +299,14 @@
 
 	TAILQ_FOREACH (member, &m->heard, heard) {
 		if (member->registered && !member->listed)
-			member_registry_gone(m, member->record.id, now_ms);
+			member_registry_remove(m, member->record.id, now_ms);
 	}
 	if (m->loaded_ms < 0)
 		m->loaded_ms = now_ms;
 }
 
 void
-member_load(
+member_set_load(
     struct members *m, const char *id, int held, int needed, int64_t now_ms)
 {
 	struct member *member;
@@ -319,7 +319,7 @@
 }
 
 void
-member_vm_seen(
+member_set_vm(
     struct members *m, const char *id, enum member_vm vm, int64_t now_ms)
 {
 	struct member *member;
@@ -329,7 +329,7 @@
 	member->vm = vm;
 	if (vm == MEMBER_VM_GONE &&
 	    now_ms - member->heard_ms > m->options.heartbeat_ms)
-		gossip_ask(m, member, now_ms);
+		gossip_probe(m, member, now_ms);
 }
 
 static bool
@@ -341,7 +341,7 @@
 }
 
 struct member_verdict
-member_judge(const struct members *m, const char *id, uint64_t incarnation,
+member_evaluate(const struct members *m, const char *id, uint64_t incarnation,
     int64_t now_ms)
 {
 	struct member_verdict verdict;
@@ -366,13 +366,13 @@
 	verdict.silent_ms = now_ms - member->heard_ms;
 	verdict.gossip_silent = member_silent(m, member, now_ms);
 	verdict.registry_lapsed =
-	    !member->registered && member_accused(m, member);
+	    !member->registered && member_unregistered_or_gone(m, member);
 	verdict.state = member->record.state;
 	replaced = incarnation != 0 && incarnation < member->record.incarnation;
 	if (verdict.state == MEMBER_LEFT && !replaced)
 		return verdict;
 	if (replaced ||
-	    (verdict.gossip_silent && member_accused(m, member) &&
+	    (verdict.gossip_silent && member_unregistered_or_gone(m, member) &&
 		asked_in_vain(m, member, now_ms)))
 		verdict.state = MEMBER_DEAD;
 	else if (verdict.gossip_silent)
@@ -460,7 +460,7 @@
 }
 
 void
-member_store_witnesses(
+member_count_store_reachable(
     const struct members *m, int64_t now_ms, size_t *heard, size_t *answered)
 {
 	const struct member *member;
--- a/core/member.h
+++ b/core/member.h
@@ -142,7 +142,7 @@
  * and the first news from a peer, or silence_ms without any: while it was
  * paused its own picture aged, and others may have replaced it.
  */
-bool member_acting(const struct members *, int64_t now_ms);
+bool member_may_act(const struct members *, int64_t now_ms);
 
 /* Tell everybody at once, as when this entry has left. */
 void member_announce(struct members *, int64_t now_ms);
@@ -151,16 +151,16 @@
  * What the witnesses say.  Of a registered record the id, incarnation, address
  * and data centre count; listen is its address for callers.
  */
-void member_registry(struct members *, const struct member_record *,
+void member_registry_update(struct members *, const struct member_record *,
     const char *listen, int64_t now_ms);
-void member_registry_gone(struct members *, const char *id, int64_t now_ms);
+void member_registry_remove(struct members *, const char *id, int64_t now_ms);
 /*
- * Around a reading of the whole registry, each key told by member_registry in
+ * Around a reading of the whole registry, each key told by member_registry_update in
  * between: who isn't in it has no lease.
  */
 void member_registry_begin(struct members *);
 void member_registry_loaded(struct members *, int64_t now_ms);
-void member_vm_seen(
+void member_set_vm(
     struct members *, const char *id, enum member_vm, int64_t now_ms);
 
 /*
@@ -168,11 +168,11 @@
  * incarnation is dead once a later one was seen.  An unknown entry is dead
  * if the registry was read at least silence_ms ago and doesn't have it.
  */
-struct member_verdict member_judge(const struct members *, const char *id,
+struct member_verdict member_evaluate(const struct members *, const char *id,
     uint64_t incarnation, int64_t now_ms);
 
 /* It told its load in another message. */
-void member_load(
+void member_set_load(
     struct members *, const char *id, int held, int needed, int64_t now_ms);
 
 /* This entry's own record, to be kept up to date by the caller. */
@@ -189,7 +189,7 @@
 const struct member *member_find(const struct members *, const char *id);
 size_t member_count(const struct members *);
 /* Of the members heard of within silence_ms, how many the store answers. */
-void member_store_witnesses(
+void member_count_store_reachable(
     const struct members *, int64_t now_ms, size_t *heard, size_t *answered);
 
 const char *member_state_name(enum member_state);
--- a/core/member_int.h
+++ b/core/member_int.h
@@ -42,12 +42,12 @@
 
 bool member_silent(const struct members *, const struct member *, int64_t);
 /* Does a witness other than silence speak against it? */
-bool member_accused(const struct members *, const struct member *);
+bool member_unregistered_or_gone(const struct members *, const struct member *);
 void member_drop(struct members *, struct member *);
 
-/* One message to that member; with_ask makes it answer. */
+/* One message to that member; probe_requested makes it answer. */
 void gossip_send(
-    struct members *, struct member *, bool with_ask, int64_t now_ms);
-void gossip_ask(struct members *, struct member *, int64_t now_ms);
+    struct members *, struct member *, bool probe_requested, int64_t now_ms);
+void gossip_probe(struct members *, struct member *, int64_t now_ms);
 
 #endif /* MEMBER_INT_H */
--- a/core/outbox.c
+++ b/core/outbox.c
@@ -19,24 +19,24 @@
 }
 
 uint32_t
-outbox_starts(struct outbox *o, double gathered_bytes, int64_t now_ms)
+outbox_start_budget(struct outbox *o, double gathered_bytes, int64_t now_ms)
 {
 	double left;
 
-	left = pacer_left(o->link, now_ms) - gathered_bytes;
+	left = pacer_available(o->link, now_ms) - gathered_bytes;
 	o->full = left < 0;
 	left += o->link->rate * START_DEBT_MS;
 	return left > 0 ? 1 + (uint32_t)(left / START_BYTES) : 0;
 }
 
 int64_t
-outbox_due_ms(const struct outbox *o)
+outbox_flush_ms(const struct outbox *o)
 {
 	return o->full ? o->sent_ms + GATHER_MS : 0;
 }
 
 void
-outbox_sent(struct outbox *o, int64_t now_ms)
+outbox_flushed(struct outbox *o, int64_t now_ms)
 {
 	o->sent_ms = now_ms;
 }
--- a/core/pacer.c
+++ b/core/pacer.c
@@ -22,14 +22,14 @@
 }
 
 void
-pacer_spend(struct pacer *p, double bytes, int64_t now_ms)
+pacer_consume(struct pacer *p, double bytes, int64_t now_ms)
 {
 	refill(p, now_ms);
 	p->left -= bytes;
 }
 
 double
-pacer_left(struct pacer *p, int64_t now_ms)
+pacer_available(struct pacer *p, int64_t now_ms)
 {
 	refill(p, now_ms);
 	return p->left;
@@ -40,7 +40,7 @@
 {
 	double left;
 
-	left = pacer_left(p, now_ms);
+	left = pacer_available(p, now_ms);
 	if (left >= 0)
 		return 0;
 	return 1 + (int64_t)(-left / p->rate);
--- a/core/pacer.h
+++ b/core/pacer.h
@@ -18,9 +18,9 @@
 
 void pacer_init(
     struct pacer *, double bytes_per_s, int64_t burst_ms, int64_t now_ms);
-void pacer_spend(struct pacer *, double bytes, int64_t now_ms);
+void pacer_consume(struct pacer *, double bytes, int64_t now_ms);
 /* Bytes that may be sent now; less than 0: the debt. */
-double pacer_left(struct pacer *, int64_t now_ms);
+double pacer_available(struct pacer *, int64_t now_ms);
 /* So long until the debt is paid, in milliseconds; 0: there is none. */
 int64_t pacer_wait_ms(struct pacer *, int64_t now_ms);
 
--- a/core/recent.c
+++ b/core/recent.c
@@ -11,7 +11,7 @@
 };
 
 struct recent_ids {
-	struct recent_options o;
+	struct recent_ids_options o;
 	struct mark *marks;
 };
 
@@ -27,7 +27,7 @@
 }
 
 struct recent_ids *
-recent_open(const struct recent_options *o)
+recent_ids_open(const struct recent_ids_options *o)
 {
 	struct recent_ids *r;
 
@@ -43,14 +43,14 @@
 }
 
 void
-recent_close(struct recent_ids *r)
+recent_ids_close(struct recent_ids *r)
 {
 	free(r->marks);
 	free(r);
 }
 
 void
-recent_add(struct recent_ids *r, const char *id, int64_t now_ms)
+recent_ids_add(struct recent_ids *r, const char *id, int64_t now_ms)
 {
 	struct mark *m;
 	uint64_t hash;
@@ -62,7 +62,7 @@
 }
 
 bool
-recent_has(const struct recent_ids *r, const char *id, int64_t now_ms)
+recent_ids_has(const struct recent_ids *r, const char *id, int64_t now_ms)
 {
 	const struct mark *m;
 	uint64_t hash;
--- a/core/recent.h
+++ b/core/recent.h
@@ -14,16 +14,16 @@
 
 struct recent_ids;
 
-struct recent_options {
+struct recent_ids_options {
 	uint32_t ids_max; /* a power of two */
 	int64_t keep_ms;
 };
 
 /* NULL without memory. */
-struct recent_ids *recent_open(const struct recent_options *);
-void recent_close(struct recent_ids *);
-void recent_add(struct recent_ids *, const char *id, int64_t now_ms);
+struct recent_ids *recent_ids_open(const struct recent_ids_options *);
+void recent_ids_close(struct recent_ids *);
+void recent_ids_add(struct recent_ids *, const char *id, int64_t now_ms);
 /* It, or an id of the same hash, went out within keep_ms and is still known. */
-bool recent_has(const struct recent_ids *, const char *id, int64_t now_ms);
+bool recent_ids_has(const struct recent_ids *, const char *id, int64_t now_ms);
 
 #endif /* RECENT_H */
--- a/core/route.c
+++ b/core/route.c
@@ -66,7 +66,7 @@
 }
 
 void
-routes_members(
+routes_set_members(
     struct routes *r, const struct route_member *members, size_t nmembers)
 {
 	r->members = members;
@@ -184,7 +184,7 @@
 }
 
 void
-route_lost(struct routes *r, const char *worker, int64_t now_ms)
+route_call_lost(struct routes *r, const char *worker, int64_t now_ms)
 {
 	struct route *route;
 
@@ -201,7 +201,7 @@
 }
 
 void
-route_answered(struct routes *r, const char *worker)
+route_call_answered(struct routes *r, const char *worker)
 {
 	struct route *route;
 
--- a/core/route.h
+++ b/core/route.h
@@ -43,7 +43,7 @@
 void routes_init(struct routes *, route_usable *);
 void routes_free(struct routes *);
 /* Other members than before; the array stays the caller's. */
-void routes_members(
+void routes_set_members(
     struct routes *, const struct route_member *, size_t nmembers);
 /*
  * The data of the member that serves the worker; NULL: none may be used.  Each
@@ -52,8 +52,8 @@
 void *route_choose(struct routes *, const char *worker, const char *data_center,
     int64_t now_ms);
 /* The worker didn't answer a call that went through its member. */
-void route_lost(struct routes *, const char *worker, int64_t now_ms);
-void route_answered(struct routes *, const char *worker);
+void route_call_lost(struct routes *, const char *worker, int64_t now_ms);
+void route_call_answered(struct routes *, const char *worker);
 /* Forget workers that weren't called for long. */
 void routes_expire(struct routes *, int64_t now_ms);
 
--- a/core/shard.c
+++ b/core/shard.c
@@ -25,15 +25,15 @@
 }
 
 enum shard_verdict
-shard_judge(const struct shard_options *opt, const struct shard_owner *owner,
+shard_evaluate(const struct shard_options *opt, const struct shard_owner *owner,
     bool is_home, bool alone)
 {
 	int64_t silence_ms;
 
 	if (!is_home)
-		return SHARD_KEEP_OFF;
+		return SHARD_NO_TAKEOVER;
 	if (owner->none)
-		return SHARD_TAKE_FREE;
+		return SHARD_TAKE_UNOWNED;
 	if (owner->self)
 		return SHARD_TAKE_BACK;
 	if (owner->left)
@@ -48,7 +48,7 @@
 	silence_ms = alone ? 2 * opt->silence_ms : opt->silence_ms;
 	if (!owner->registered && owner->silent_ms >= silence_ms)
 		return SHARD_TAKE_LAPSED;
-	return SHARD_KEEP_OFF;
+	return SHARD_NO_TAKEOVER;
 }
 
 bool
--- a/core/shard.h
+++ b/core/shard.h
@@ -34,9 +34,9 @@
 };
 
 enum shard_verdict {
-	SHARD_KEEP_OFF, /* its owner may well live, or we ought not to have it
+	SHARD_NO_TAKEOVER, /* its owner may well live, or we ought not to have it
 			 */
-	SHARD_TAKE_FREE, /* nobody owns it */
+	SHARD_TAKE_UNOWNED, /* nobody owns it */
 	SHARD_TAKE_BACK, /* we owned it before a restart or a conflict */
 	SHARD_TAKE_LEFT,
 	SHARD_TAKE_GONE,
@@ -48,7 +48,7 @@
  * answers us at all.  Then we may be the one that is cut off; an owner that
  * lives registers again within the second silence that we wait out.
  */
-enum shard_verdict shard_judge(const struct shard_options *,
+enum shard_verdict shard_evaluate(const struct shard_options *,
     const struct shard_owner *, bool is_home, bool alone);
 
 /* Whether a shard that we own ought to go to its home, and since when. */
--- a/core/share.c
+++ b/core/share.c
@@ -45,7 +45,7 @@
 }
 
 size_t
-share_shards(const struct share_limit *limit, const char *team,
+share_rank_shards(const struct share_limit *limit, const char *team,
     const char **shards, size_t n)
 {
 	struct ranked *ranked;
@@ -76,7 +76,7 @@
 }
 
 bool
-share_allows(const struct share_limit *limit, const struct share_use *use,
+share_allows(const struct share_limit *limit, const struct share_usage *use,
     const struct resources *more, size_t shares)
 {
 	return within(limit->tasks, use->tasks, 1, shares) &&
--- a/core/share.h
+++ b/core/share.h
@@ -22,7 +22,7 @@
 	int64_t tasks; /* or SHARE_UNLIMITED */
 };
 
-struct share_use {
+struct share_usage {
 	struct resources size;
 	int64_t tasks;
 };
@@ -31,11 +31,11 @@
  * Put the shards in the team's own order, whatever order they come in, and
  * return how many of them, from the first on, have a share.
  */
-size_t share_shards(const struct share_limit *, const char *team,
+size_t share_rank_shards(const struct share_limit *, const char *team,
     const char **shards, size_t n);
 
 /* May the team use so much more in a shard that has one of so many shares? */
-bool share_allows(const struct share_limit *, const struct share_use *,
+bool share_allows(const struct share_limit *, const struct share_usage *,
     const struct resources *more, size_t shares);
 
 #endif /* SHARE_H */
--- a/entry/carry.c
+++ b/entry/carry.c
@@ -119,7 +119,7 @@
 		c->members[n].data_center = member->data_center;
 		c->members[n++].data = member;
 	}
-	routes_members(&c->routes, c->members, n);
+	routes_set_members(&c->routes, c->members, n);
 }
 
 static void
@@ -396,9 +396,9 @@
     struct carry *c, const struct carried *order, enum worker_answer answer)
 {
 	if (answer == ANSWER_LOST || answer == ANSWER_NOT_SENT)
-		route_lost(&c->routes, order->worker, clock_now_ms());
+		route_call_lost(&c->routes, order->worker, clock_now_ms());
 	else
-		route_answered(&c->routes, order->worker);
+		route_call_answered(&c->routes, order->worker);
 }
 
 /* Rows of the answer may be the kept list's until that is replaced. */
--- a/entry/election.c
+++ b/entry/election.c
@@ -130,7 +130,7 @@
 	value = json_dumps(record, JSON_COMPACT);
 	json_decref(record);
 	if (value == NULL) {
-		elect_taken(e, TAKE_REFUSED, 0, clock_now_ms());
+		elect_write_done(e, ELECT_WRITE_CONFLICT, 0, clock_now_ms());
 		return;
 	}
 	compare.key = KEY_LEADER;
@@ -153,14 +153,14 @@
 static void
 on_taken(const struct kv_result *result, void *ctx)
 {
-	enum elect_take taken;
+	enum elect_write_result taken;
 	struct node *node;
 
 	node = ctx;
-	taken = TAKE_REFUSED;
+	taken = ELECT_WRITE_CONFLICT;
 	if (result->error == KV_OK)
-		taken = TAKE_DONE;
+		taken = ELECT_WRITE_DONE;
 	else if (result->error == KV_UNKNOWN)
-		taken = TAKE_UNKNOWN;
-	elect_taken(&node->elect, taken, result->revision, clock_now_ms());
+		taken = ELECT_WRITE_UNKNOWN;
+	elect_write_done(&node->elect, taken, result->revision, clock_now_ms());
 }
--- a/entry/lead.c
+++ b/entry/lead.c
@@ -132,7 +132,7 @@
 	json_t *pairs;
 	char *text;
 
-	every_ms = pacer_left(&l->node->link, now_ms) < 0 ? LEARNT_FULL_MS :
+	every_ms = pacer_available(&l->node->link, now_ms) < 0 ? LEARNT_FULL_MS :
 							    LEARNT_EVERY_MS;
 	if (l->learnt_text != NULL && now_ms - l->learnt_ms < every_ms)
 		return NULL;
@@ -171,7 +171,7 @@
 	options.lease_ms = node->opt.lease_max_ms < LEASE_MS ?
 	    node->opt.lease_max_ms :
 	    LEASE_MS;
-	options.former_ms = node->elect.former_over ? 0 : LEAD_FORMER_MS;
+	options.former_ms = node->elect.no_former_leader ? 0 : LEAD_FORMER_MS;
 	options.keep_ms = node->opt.keep_ms;
 	options.harm_ms = node->opt.harm_ms;
 	options.wall_offset_ms = l->opened_ms - clock_wall_ms() + DUE_MARGIN_MS;
@@ -290,7 +290,7 @@
 set_budget(struct lead *l, int64_t now_ms)
 {
 	l->sched->starts_allowed =
-	    outbox_starts(&l->outbox, carry_gathered(l->carry), now_ms);
+	    outbox_start_budget(&l->outbox, carry_gathered(l->carry), now_ms);
 	l->sched->link_full = l->outbox.full;
 }
 
@@ -302,11 +302,11 @@
 
 	if (carry_gathered(l->carry) == 0)
 		return INT64_MAX;
-	due_ms = outbox_due_ms(&l->outbox);
+	due_ms = outbox_flush_ms(&l->outbox);
 	if (now_ms < due_ms)
 		return due_ms;
 	carry_flush(l->carry);
-	outbox_sent(&l->outbox, now_ms);
+	outbox_flushed(&l->outbox, now_ms);
 	return INT64_MAX;
 }
 
--- a/entry/lead_record.c
+++ b/entry/lead_record.c
@@ -321,7 +321,7 @@
 	put.key = KEY_WORKERS;
 	put.value = text;
 	put.len = strlen(text);
-	pacer_spend(&l->node->link,
+	pacer_consume(&l->node->link,
 	    WRITE_BYTES + BASE64_GROWTH * (double)put.len, write->sent_ms);
 	txn.compares = compares;
 	txn.ncompares = 2;
--- a/entry/lead_save.c
+++ b/entry/lead_save.c
@@ -226,7 +226,7 @@
 	bytes = WRITE_BYTES;
 	for (i = 0; i < txn.nputs; i++)
 		bytes += PUT_BYTES + BASE64_GROWTH * (double)puts[i].len;
-	pacer_spend(&l->node->link, bytes, write->sent_ms);
+	pacer_consume(&l->node->link, bytes, write->sent_ms);
 	l->saves++;
 	lead_hold(l);
 	l->node->opt.kv.txn(l->node->opt.kv.self, &txn, on_saved, write);
@@ -356,7 +356,7 @@
 {
 	if (l->save_soon)
 		return GATHER_ENDED_MS;
-	return pacer_left(&l->node->link, now_ms) < 0 ? GATHER_FULL_MS :
+	return pacer_available(&l->node->link, now_ms) < 0 ? GATHER_FULL_MS :
 							GATHER_MS;
 }
 
--- a/entry/members.c
+++ b/entry/members.c
@@ -129,7 +129,7 @@
 	if (peer_send(node->peer, id, data, len) != PEER_OK)
 		return false;
 	count_sent(kind, len);
-	pacer_spend(&node->link, (double)(len + FRAME_BYTES), clock_now_ms());
+	pacer_consume(&node->link, (double)(len + FRAME_BYTES), clock_now_ms());
 	return true;
 }
 
@@ -397,7 +397,7 @@
 	if (leader.id[0] == '\0' || strcmp(leader.id, node->id) == 0)
 		return;
 	before = node->elect.leader.term;
-	if (!elect_beat(&node->elect, &leader,
+	if (!elect_heartbeat(&node->elect, &leader,
 		json_is_true(json_object_get(message, "store")),
 		(uint32_t)number_of(message, "rank"),
 		(uint32_t)number_of(message, "members"), now_ms)) {
@@ -442,7 +442,7 @@
 	members_send(node, id,
 	    json_pack("{ss ss sI sb sb}", "t", "vote", "id", node->id, "term",
 		(json_int_t)term, "grant",
-		resigned || elect_grants(&node->elect, term, now_ms),
+		resigned || elect_grants_vote(&node->elect, term, now_ms),
 		"resigned", (int)resigned));
 	if (node->lead != NULL)
 		node->beat_ms = 0;
--- a/entry/node.c
+++ b/entry/node.c
@@ -197,7 +197,7 @@
 {
 	log_info("step_down", "term=%llu reason=%s",
 	    (unsigned long long)node->elect.leader.term, reason);
-	elect_lost(&node->elect, clock_now_ms());
+	elect_step_down(&node->elect, clock_now_ms());
 }
 
 void
--- a/lagoonpind/borrow.c
+++ b/lagoonpind/borrow.c
@@ -100,7 +100,7 @@
 		return member->record.spare_connections;
 	load.held = member->record.held_slots;
 	load.needed = member->record.needed_slots;
-	return lending_guess(load, now_ms - member->load_ms, want->load);
+	return lending_estimate(load, now_ms - member->load_ms, want->load);
 }
 
 /* The living peer that may offer most, a far one only for much more. */
@@ -116,7 +116,7 @@
 		    strcmp(member->record.data_center, e->opt.data_center) == 0;
 		offer = offer_of(member, want, now_ms);
 		if (offer < offers[near] || offer == 0 ||
-		    member_judge(mesh_members(e), member->record.id, 0, now_ms)
+		    member_evaluate(mesh_members(e), member->record.id, 0, now_ms)
 			    .state != MEMBER_ALIVE)
 			continue;
 		equals[near] = offer == offers[near] ? equals[near] + 1 : 1;
@@ -129,7 +129,7 @@
 	}
 	near =
 	    offers[1] >= want->amount.connections || offers[0] <= 2 * offers[1];
-	if (!lending_worth(offers[near], want->load.held))
+	if (!lending_worthwhile(offers[near], want->load.held))
 		return NULL;
 	return best[near];
 }
@@ -181,7 +181,7 @@
 	}
 	if (!send_want(e, peer->record.id, &want)) {
 		/* Not reachable: ask another until it is heard of again. */
-		member_load(mesh_members(e), peer->record.id, 0, 0, now_ms);
+		member_set_load(mesh_members(e), peer->record.id, 0, 0, now_ms);
 		return false;
 	}
 	d->asked_ms = now_ms;
@@ -293,7 +293,7 @@
 		return;
 	}
 	now_ms = clock_now_ms();
-	member_load(mesh_members(e), header->from, want.load.held,
+	member_set_load(mesh_members(e), header->from, want.load.held,
 	    want.load.needed, now_ms);
 	request.service = want.service;
 	request.peer.peer = header->from;
@@ -326,7 +326,7 @@
 	size_t i, k;
 
 	now_ms = clock_now_ms();
-	member_load(mesh_members(e), header->from, in->load.held,
+	member_set_load(mesh_members(e), header->from, in->load.held,
 	    in->load.needed, now_ms);
 	for (i = 0; i < e->lend->ndemands; i++) {
 		d = &e->lend->demands[i];
--- a/lagoonpind/call_admit.c
+++ b/lagoonpind/call_admit.c
@@ -13,10 +13,10 @@
 static bool
 answer_kept(struct call *c)
 {
-	struct kept_answer kept;
+	struct cached_response kept;
 
 	if (c->idempotent ||
-	    kept_get(c->callers->responses, c->id, c->hash, c->arrived_ms,
+	    response_cache_get(c->callers->responses, c->id, c->hash, c->arrived_ms,
 		&kept) != 0)
 		return false;
 	call_answer(c, &kept, OUTCOME_KEPT_ANSWER);
--- a/lagoonpind/call_answer.c
+++ b/lagoonpind/call_answer.c
@@ -188,7 +188,7 @@
 }
 
 void
-call_answer(struct call *c, const struct kept_answer *answer,
+call_answer(struct call *c, const struct cached_response *answer,
     enum outcome_reason reason)
 {
 	struct httpd_header headers[HEADERS_MAX];
--- a/lagoonpind/call_claim.c
+++ b/lagoonpind/call_claim.c
@@ -159,7 +159,7 @@
 		[CLAIM_REFUSED_STORE] = OUTCOME_STORE_AWAY,
 		[CLAIM_REFUSED_EXPIRED] = OUTCOME_CLAIM_TOO_OLD,
 	};
-	struct kept_answer kept;
+	struct cached_response kept;
 	struct callers *cs;
 	struct call *call;
 
@@ -169,14 +169,14 @@
 	    "lagoonpin_claims_refused", outcome_reason_name(reasons[why]));
 	call->facts.foreign_claim = why == CLAIM_REFUSED_DUPLICATE;
 	if (why == CLAIM_REFUSED_DUPLICATE)
-		recent_add(cs->recent_ids, call->id, clock_now_ms());
+		recent_ids_add(cs->recent_ids, call->id, clock_now_ms());
 	explain_attempt(
 	    call, call->waiting, outcome_reason_name(reasons[why]), 0);
 	attempt_end(call->waiting, OUTCOME_ATTEMPT_NOT_SENT);
 	call->waiting = NULL;
 	/* The answer to the one that holds the claim may be here by now. */
 	if (why == CLAIM_REFUSED_DUPLICATE &&
-	    kept_get(cs->responses, call->id, call->hash, clock_now_ms(),
+	    response_cache_get(cs->responses, call->id, call->hash, clock_now_ms(),
 		&kept) == 0) {
 		admit_cancel(&call->item);
 		call_answer(call, &kept, OUTCOME_KEPT_ANSWER);
--- a/lagoonpind/call_collect.c
+++ b/lagoonpind/call_collect.c
@@ -22,9 +22,9 @@
 static bool matches(const struct attempt *, struct httpc_call *);
 static void complete(struct attempt *, const struct httpc_result *);
 static void late_answer(struct attempt *, const struct httpc_result *);
-static void keep(const struct call *, const struct kept_answer *);
+static void keep(const struct call *, const struct cached_response *);
 static void observe(const struct attempt *);
-static struct kept_answer answer_of(const struct httpc_result *);
+static struct cached_response answer_of(const struct httpc_result *);
 static void refused(struct attempt *, const char *);
 static enum outcome_reason failure_of(enum httpc_error);
 static bool may_retry(struct call *, enum outcome_attempt);
@@ -168,17 +168,17 @@
 }
 
 static void
-keep(const struct call *c, const struct kept_answer *answer)
+keep(const struct call *c, const struct cached_response *answer)
 {
 	if (c->idempotent)
 		return;
-	kept_put(c->callers->responses, c->id, c->hash, answer, clock_now_ms());
+	response_cache_put(c->callers->responses, c->id, c->hash, answer, clock_now_ms());
 }
 
-static struct kept_answer
+static struct cached_response
 answer_of(const struct httpc_result *r)
 {
-	struct kept_answer answer;
+	struct cached_response answer;
 
 	answer.status = r->status;
 	answer.type = httpc_response_header(r->call, "content-type");
@@ -192,7 +192,7 @@
 static void
 complete(struct attempt *a, const struct httpc_result *r)
 {
-	struct kept_answer answer;
+	struct cached_response answer;
 	struct call *c;
 
 	c = a->call;
@@ -213,7 +213,7 @@
 static void
 late_answer(struct attempt *a, const struct httpc_result *r)
 {
-	struct kept_answer answer;
+	struct cached_response answer;
 	struct call *c;
 
 	c = a->call;
--- a/lagoonpind/call_dispatch.c
+++ b/lagoonpind/call_dispatch.c
@@ -96,7 +96,7 @@
 	a->sent_ns = uv_hrtime();
 	outcome_sent(&c->facts);
 	if (c->own_id)
-		recent_add(c->callers->recent_ids, c->id, now_ms);
+		recent_ids_add(c->callers->recent_ids, c->id, now_ms);
 	call_hedge_arm(c, now_ms);
 	call_collect_start(a, &request);
 }
--- a/lagoonpind/call_read.c
+++ b/lagoonpind/call_read.c
@@ -57,7 +57,7 @@
 	LIST_INIT(&c->attempts);
 	detail = "";
 	reason = read_all(c, r, &detail);
-	if (c->own_id && recent_has(cs->recent_ids, c->id, c->arrived_ms))
+	if (c->own_id && recent_ids_has(cs->recent_ids, c->id, c->arrived_ms))
 		c->facts.repeated = true;
 	if (reason != OUTCOME_COMPLETE) {
 		call_refuse_request(cs, r, c->id, &c->facts, reason, detail);
@@ -239,7 +239,7 @@
 static enum outcome_reason
 read_body(struct call *c, struct httpd_request *r, const char **detail)
 {
-	struct kept_key key;
+	struct response_cache_key key;
 
 	c->body = httpd_body(r, &c->body_len);
 	*detail = "body";
@@ -253,7 +253,7 @@
 	key.service = c->service->name;
 	key.body = c->body;
 	key.len = c->body_len;
-	c->hash = kept_hash(&key);
+	c->hash = response_cache_hash(&key);
 	return OUTCOME_COMPLETE;
 }
 
--- a/lagoonpind/callers.c
+++ b/lagoonpind/callers.c
@@ -70,12 +70,12 @@
 open_modules(struct callers *cs)
 {
 	struct quota_options qo = { .burst_ms = QUOTA_BURST_MS };
-	struct kept_options ko = {
-		.answers_max = KEPT_ANSWERS,
+	struct response_cache_options ko = {
+		.entries_max = KEPT_ANSWERS,
 		.bytes_max = KEPT_BYTES,
 		.keep_ms = KEPT_MS,
 	};
-	struct recent_options ro = {
+	struct recent_ids_options ro = {
 		.ids_max = RECENT_IDS,
 		.keep_ms = KEPT_MS,
 	};
@@ -94,9 +94,9 @@
 	ao.quota = cs->quota;
 	if ((cs->admit = admit_open(&ao)) == NULL)
 		return -1;
-	if ((cs->responses = kept_open(&ko)) == NULL)
+	if ((cs->responses = response_cache_open(&ko)) == NULL)
 		return -1;
-	if ((cs->recent_ids = recent_open(&ro)) == NULL)
+	if ((cs->recent_ids = recent_ids_open(&ro)) == NULL)
 		return -1;
 	if ((cs->explains = explain_open(EXPLAIN_RING)) == NULL)
 		return -1;
@@ -414,8 +414,8 @@
 	endpoints_close(cs);
 	claim_store_close(cs->claim_store);
 	explain_close(cs->explains);
-	recent_close(cs->recent_ids);
-	kept_close(cs->responses);
+	recent_ids_close(cs->recent_ids);
+	response_cache_close(cs->responses);
 	admit_close(cs->admit);
 	quota_close(cs->quota);
 	free(cs);
--- a/lagoonpind/callers.h
+++ b/lagoonpind/callers.h
@@ -236,7 +236,7 @@
 void call_refuse(struct call *, enum outcome_reason, int64_t retry_after_ms);
 /* The endpoint's complete answer. */
 void call_answer(
-    struct call *, const struct kept_answer *, enum outcome_reason);
+    struct call *, const struct cached_response *, enum outcome_reason);
 /* A watch: its head, then pieces by httpd_send, then its end or a cut. */
 void call_answer_begin(struct call *, int status, const char *type);
 void call_answer_end(struct call *);
--- a/lagoonpind/lagoonpind.h
+++ b/lagoonpind/lagoonpind.h
@@ -168,8 +168,8 @@
 struct conf *entry_conf(const struct entry *);
 
 /*
- * mesh.c: the other entries.  Judge them with member_judge(), take over only
- * while member_acting(), and tell of owned shards with member_own_shard().
+ * mesh.c: the other entries.  Judge them with member_evaluate(), take over only
+ * while member_may_act(), and tell of owned shards with member_own_shard().
  */
 struct members *mesh_members(const struct entry *);
 /* A peer's message; the payload is valid only during the call. */
--- a/lagoonpind/mesh.c
+++ b/lagoonpind/mesh.c
@@ -186,7 +186,7 @@
 		state = MEMBER_VM_LEAVING;
 	else if (vm->info.state == VM_GONE)
 		state = MEMBER_VM_GONE;
-	member_vm_seen(mesh_members(e), vm->info.id, state, clock_now_ms());
+	member_set_vm(mesh_members(e), vm->info.id, state, clock_now_ms());
 }
 
 /* Everybody hears at once that this entry leaves. */
--- a/lagoonpind/owners.c
+++ b/lagoonpind/owners.c
@@ -167,7 +167,7 @@
 		back = lending_return(
 		    idle, row->spare, credit_spare(e->lend->book));
 	if (back.connections == 0 ||
-	    member_judge(mesh_members(e), row->owner, 0, clock_now_ms())
+	    member_evaluate(mesh_members(e), row->owner, 0, clock_now_ms())
 		    .state != MEMBER_ALIVE)
 		return;
 	owner.peer = row->owner;
--- a/lagoonpind/registry.c
+++ b/lagoonpind/registry.c
@@ -339,7 +339,7 @@
 			replaced(mesh, record.incarnation);
 		return;
 	}
-	member_registry(mesh->members, &record, listen, clock_now_ms());
+	member_registry_update(mesh->members, &record, listen, clock_now_ms());
 	if (peer_connect(mesh->peer, record.id, record.address) != PEER_OK)
 		counter_reason("lagoonpin_registry_failures", "bad_address");
 }
@@ -352,7 +352,7 @@
 	struct registry *r = &mesh->registry;
 
 	if (!is_own(mesh, key)) {
-		member_registry_gone(
+		member_registry_remove(
 		    mesh->members, key + strlen(PREFIX), clock_now_ms());
 		return;
 	}
--- a/lagoonpind/task_evict.c
+++ b/lagoonpind/task_evict.c
@@ -464,7 +464,7 @@
 		reason = "larger_than_any_vm";
 	if (reason == NULL && job != NULL && job->phase == RECORD_READY) {
 		health_options_default(&options);
-		if (health_judge(&options, &job->health, &t->r.size,
+		if (health_evaluate(&options, &job->health, &t->r.size,
 			&t->r.size) == HEALTH_FAILS_EVERYWHERE)
 			reason = "fails_everywhere";
 	}
--- a/lagoonpind/task_own.c
+++ b/lagoonpind/task_own.c
@@ -52,7 +52,7 @@
 	members = mesh_members(b->entry);
 	for (m = member_first(members); m != NULL && n < max;
 	     m = member_next(m)) {
-		state = member_judge(members, m->record.id, 0, now_ms).state;
+		state = member_evaluate(members, m->record.id, 0, now_ms).state;
 		if (state == MEMBER_ALIVE || state == MEMBER_SUSPECT)
 			ids[n++] = m->record.id;
 	}
@@ -82,7 +82,7 @@
 		return;
 	if (s->ledger == NULL) {
 		if (!s->reading && now_ms >= s->next_try_ms &&
-		    member_acting(mesh_members(e), now_ms) &&
+		    member_may_act(mesh_members(e), now_ms) &&
 		    is_home(s, &home, now_ms))
 			look(s, now_ms);
 		return;
@@ -183,15 +183,15 @@
 	owner.self = strcmp(head->owner, s->batch->entry->opt.id) == 0;
 	members = mesh_members(s->batch->entry);
 	if (!owner.none && !owner.self) {
-		v = member_judge(members, head->owner, 0, now_ms);
+		v = member_evaluate(members, head->owner, 0, now_ms);
 		owner.left = v.state == MEMBER_LEFT;
 		owner.vm_gone = v.vm == MEMBER_VM_GONE;
 		owner.registered = v.state != MEMBER_DEAD;
 		owner.silent_ms = v.silent_ms;
 	}
-	member_store_witnesses(members, now_ms, &heard, &answered);
+	member_count_store_reachable(members, now_ms, &heard, &answered);
 	/* With no other entry known there is nobody to be cut off from. */
-	return shard_judge(&s->batch->shard_options, &owner, true,
+	return shard_evaluate(&s->batch->shard_options, &owner, true,
 	    heard == 0 && member_count(members) > 1);
 }
 
@@ -204,7 +204,7 @@
 	if (s->ledger != NULL || s->batch->entry->phase != ENTRY_RUNNING)
 		return;
 	verdict = verdict_on(s, &doc->head, now_ms);
-	if (verdict == SHARD_KEEP_OFF) {
+	if (verdict == SHARD_NO_TAKEOVER) {
 		tell_peers(s, doc->head.owner, doc->head.epoch);
 		return;
 	}
--- a/lagoonpind/task_quota.c
+++ b/lagoonpind/task_quota.c
@@ -7,7 +7,7 @@
 
 static struct share_limit limit_of(struct batch *, const char *);
 static bool is_unlimited(const struct share_limit *);
-static void add_use(struct share_use *, struct batch_shard *, const char *);
+static void add_use(struct share_usage *, struct batch_shard *, const char *);
 
 static struct share_limit
 limit_of(struct batch *b, const char *team)
@@ -51,11 +51,11 @@
 			shards[n++] = rack->name;
 	}
 	limit = limit_of(b, team);
-	return share_shards(&limit, team, shards, n);
+	return share_rank_shards(&limit, team, shards, n);
 }
 
 static void
-add_use(struct share_use *use, struct batch_shard *s, const char *team)
+add_use(struct share_usage *use, struct batch_shard *s, const char *team)
 {
 	const struct batch_job *job;
 	struct ledger_worker *w;
@@ -80,7 +80,7 @@
 {
 	const char *shards[BATCH_SHARDS_MAX];
 	struct share_limit limit;
-	struct share_use use = { 0 };
+	struct share_usage use = { 0 };
 	size_t i, n;
 
 	limit = limit_of(s->batch, job->job.team);
--- a/lagoonreplay/tasks.c
+++ b/lagoonreplay/tasks.c
@@ -223,7 +223,7 @@
 	for (i = 0; i < w->next_job; i++) {
 		j = &w->jobs[i];
 		if (!w->policy->learns || j->cancelled ||
-		    health_judge(&w->health, &j->health, &j->trace->declared,
+		    health_evaluate(&w->health, &j->health, &j->trace->declared,
 			&w->largest) == HEALTH_MAY_RUN)
 			continue;
 		j->cancelled = true;
--- a/tests/test_elect.cc
+++ b/tests/test_elect.cc
@@ -56,7 +56,7 @@
 	{
 		struct elect_leader l = Record("other", 3, 30, 0).leader;
 
-		elect_beat(&e, &l, store, rank, members, now);
+		elect_heartbeat(&e, &l, store, rank, members, now);
 	}
 
 	void
@@ -76,7 +76,7 @@
 			reads_answered = reads;
 			elect_read(&e, record, now);
 		}
-		for (int i = 0; i < 3 && e.role == ELECT_ASKING; i++)
+		for (int i = 0; i < 3 && e.role == ELECT_PRECANDIDATE; i++)
 			elect_vote(&e, 3, true, false);
 		elect_tick(&e, now);
 	}
@@ -142,7 +142,7 @@
 	EXPECT_EQ(takes, 1);
 	EXPECT_EQ(term, 1u);
 	EXPECT_EQ(revision, 0);
-	elect_taken(&e, TAKE_DONE, 40, now);
+	elect_write_done(&e, ELECT_WRITE_DONE, 40, now);
 	EXPECT_EQ(e.role, ELECT_LEADER);
 	EXPECT_EQ(e.leader.revision, 40);
 }
@@ -187,7 +187,7 @@
 	Follow(7);
 	for (int i = 0; i < 200; i++) {
 		Pass(60);
-		if (e.role != ELECT_ASKING)
+		if (e.role != ELECT_PRECANDIDATE)
 			continue;
 		struct elect_record r = Record("other", 3, 30, pulse++);
 		elect_read(&e, &r, now);
@@ -207,7 +207,7 @@
 	Follow(7);
 	while (takes == 0 && now < begin + 10000) {
 		Pass(60);
-		if (e.role == ELECT_ASKING) {
+		if (e.role == ELECT_PRECANDIDATE) {
 			struct elect_record r = Record("other", 3, 30, 300);
 			elect_read(&e, &r, now);
 		}
@@ -242,7 +242,7 @@
 	for (int i = 0; i < 50; i++) {
 		Pass(140);
 		Beat(7, false);
-		if (e.role == ELECT_ASKING) {
+		if (e.role == ELECT_PRECANDIDATE) {
 			elect_vote(&e, 3, true, false);
 			elect_read(&e, nullptr, now);
 		}
@@ -276,7 +276,7 @@
 	elect_read(&e, &none, now);
 	Pass(20);
 	ASSERT_EQ(takes, 1);
-	elect_taken(&e, TAKE_UNKNOWN, 0, now);
+	elect_write_done(&e, ELECT_WRITE_UNKNOWN, 0, now);
 	Pass(400);
 	elect_read(&e, &r, now);
 	Pass(300);
@@ -292,17 +292,17 @@
 	struct elect_leader old = Record("old", 2, 20, 0).leader;
 
 	Follow(7);
-	EXPECT_FALSE(elect_beat(&e, &old, true, 0, 7, now));
+	EXPECT_FALSE(elect_heartbeat(&e, &old, true, 0, 7, now));
 	EXPECT_STREQ(e.leader.id, "other");
 }
 
 TEST_F(Elect, MembersAgreeOnlyInSilence)
 {
 	Follow(7);
-	EXPECT_FALSE(elect_grants(&e, 3, now));
-	EXPECT_FALSE(elect_grants(&e, 2, now + 5000));
-	EXPECT_TRUE(elect_grants(&e, 3, now + 400));
-	EXPECT_TRUE(elect_grants(&e, 4, now));
+	EXPECT_FALSE(elect_grants_vote(&e, 3, now));
+	EXPECT_FALSE(elect_grants_vote(&e, 2, now + 5000));
+	EXPECT_TRUE(elect_grants_vote(&e, 3, now + 400));
+	EXPECT_TRUE(elect_grants_vote(&e, 4, now));
 }
 
 TEST_F(Elect, ALeaderThatLeavesIsFollowedAtOnce)
@@ -312,7 +312,7 @@
 	Follow(7);
 	elect_resigned(&e, 3, false, now);
 	Pass(20);
-	ASSERT_EQ(e.role, ELECT_ASKING);
+	ASSERT_EQ(e.role, ELECT_PRECANDIDATE);
 	elect_read(&e, &r, now);
 	Pass(20);
 	EXPECT_EQ(takes, 1);
@@ -334,8 +334,8 @@
 		elect_read(&e, &r, now);
 		Pass(20);
 		ASSERT_GT(takes, 0);
-		elect_taken(&e, TAKE_DONE, 41, now);
-		EXPECT_EQ(e.former_over, alone);
+		elect_write_done(&e, ELECT_WRITE_DONE, 41, now);
+		EXPECT_EQ(e.no_former_leader, alone);
 	}
 }
 
@@ -353,8 +353,8 @@
 	Pass(200);
 	ASSERT_GT(takes, 0);
 	EXPECT_EQ(term, 5u);
-	elect_taken(&e, TAKE_DONE, 41, now);
-	EXPECT_FALSE(e.former_over);
+	elect_write_done(&e, ELECT_WRITE_DONE, 41, now);
+	EXPECT_FALSE(e.no_former_leader);
 }
 
 // Callers wait twice as long for their jobs after an outage of the store, until
--- a/tests/test_health.cc
+++ b/tests/test_health.cc
@@ -80,7 +80,7 @@
 	const resources size = { 1000, 1000, 0 };
 	for (uint64_t i = 0; i < 40; i++) {
 		bool gone = i >= 4;
-		EXPECT_EQ(health_judge(&o, &j, &size, &largest),
+		EXPECT_EQ(health_evaluate(&o, &j, &size, &largest),
 		    gone ? HEALTH_FAILS_EVERYWHERE : HEALTH_MAY_RUN);
 		fail(&w[i % 10], i % 10 + 1, &j, 7, (int64_t)i);
 	}
@@ -96,7 +96,7 @@
 	health_success(&w[0], &j);
 	for (uint64_t i = 0; i < 8; i++)
 		fail(&w[i], i + 1, &j, 7, 0);
-	EXPECT_EQ(health_judge(&o, &j, &size, &largest), HEALTH_MAY_RUN);
+	EXPECT_EQ(health_evaluate(&o, &j, &size, &largest), HEALTH_MAY_RUN);
 }
 
 TEST_F(Health, OneWorkerFailingAJobManyTimesCountsOnceForTheJob)
@@ -107,7 +107,7 @@
 	for (int i = 0; i < 20; i++)
 		fail(&w, 1, &j, 7, 0);
 	EXPECT_EQ(j.failed_on, 1);
-	EXPECT_EQ(health_judge(&o, &j, &size, &largest), HEALTH_MAY_RUN);
+	EXPECT_EQ(health_evaluate(&o, &j, &size, &largest), HEALTH_MAY_RUN);
 }
 
 TEST_F(Health, AWorkerThatFailsEverythingSaysNothingAboutAJob)
@@ -132,7 +132,7 @@
 	};
 	health_job j = {};
 	for (auto &row : rows)
-		EXPECT_EQ(health_judge(&o, &j, &row.size, &largest), row.want);
+		EXPECT_EQ(health_evaluate(&o, &j, &row.size, &largest), row.want);
 }
 
 TEST_F(Health, ASuspectProbeSaysNothingAndTheNextWaits)
--- a/tests/test_kept.cc
+++ b/tests/test_kept.cc
@@ -9,27 +9,27 @@
 namespace {
 
 struct Kept : testing::Test {
-	kept_options o = { 3, 2000, 1000 };
-	response_cache *k = kept_open(&o);
-	kept_answer found = {};
+	response_cache_options o = { 3, 2000, 1000 };
+	response_cache *k = response_cache_open(&o);
+	cached_response found = {};
 
 	~Kept() override
 	{
-		kept_close(k);
+		response_cache_close(k);
 	}
 
 	void
 	put(const char *id, uint64_t hash, const std::string &body,
 	    int64_t now_ms)
 	{
-		kept_answer a = { 200, "text/plain", body.data(), body.size() };
-		kept_put(k, id, hash, &a, now_ms);
+		cached_response a = { 200, "text/plain", body.data(), body.size() };
+		response_cache_put(k, id, hash, &a, now_ms);
 	}
 
 	std::string
 	get(const char *id, uint64_t hash, int64_t now_ms)
 	{
-		if (kept_get(k, id, hash, now_ms, &found) != 0)
+		if (response_cache_get(k, id, hash, now_ms, &found) != 0)
 			return "none";
 		return std::string(found.body, found.len);
 	}
@@ -62,12 +62,12 @@
 /* Every part of the request counts, and parts don't run into each other. */
 TEST(KeptHash, TellsRequestsApart)
 {
-	const kept_key keys[] = { { "a", "t", "s", "b", 1 },
+	const response_cache_key keys[] = { { "a", "t", "s", "b", 1 },
 		{ "at", "", "s", "b", 1 }, { "a", "t", "sb", "", 0 },
 		{ "a", "t", "s", "c", 1 }, { "a", "u", "s", "b", 1 } };
 	for (auto &x : keys)
 		for (auto &y : keys)
-			EXPECT_EQ(kept_hash(&x) == kept_hash(&y), &x == &y);
+			EXPECT_EQ(response_cache_hash(&x) == response_cache_hash(&y), &x == &y);
 }
 
 } // namespace
--- a/tests/test_lending.cc
+++ b/tests/test_lending.cc
@@ -74,10 +74,10 @@
 
 TEST(LendingOffer, IsInProportionOrHalfOfWhatIsSpare)
 {
-	EXPECT_EQ(0, lending_fair({ 10, 0 }, { 0, 0 }));
-	EXPECT_EQ(10, lending_fair({ 10, 0 }, { 0, 1 }));
-	EXPECT_EQ(8, lending_fair({ 88, 10 }, { 0, 1 }));
-	EXPECT_EQ(0, lending_fair({ 10, 10 }, { 10, 5 }));
+	EXPECT_EQ(0, lending_fair_share({ 10, 0 }, { 0, 0 }));
+	EXPECT_EQ(10, lending_fair_share({ 10, 0 }, { 0, 1 }));
+	EXPECT_EQ(8, lending_fair_share({ 88, 10 }, { 0, 1 }));
+	EXPECT_EQ(0, lending_fair_share({ 10, 10 }, { 10, 5 }));
 	EXPECT_EQ(20, lending_offer({ 60, 20 }, { 20, 20 }, 40, 30));
 	EXPECT_EQ(5, lending_offer({ 60, 55 }, { 60, 50 }, 10, 30)); // half
 	EXPECT_EQ(3, lending_offer({ 60, 55 }, { 60, 50 }, 10, 3));
@@ -87,14 +87,14 @@
 	// More came than was waited for.  A negative need doesn't fit on the
 	// wire: the peer refused the message, with the credits in it.
 	EXPECT_EQ(5, lending_needed(5, -9));
-	EXPECT_FALSE(lending_worth(3, 60));
-	EXPECT_TRUE(lending_worth(4, 60));
-	EXPECT_TRUE(lending_worth(1, 0));
-	EXPECT_FALSE(lending_worth(0, 0));
-	EXPECT_EQ(0, lending_guess({ 60, 60 }, 10, { 20, 20 }));
-	EXPECT_EQ(2, lending_guess({ 60, 60 }, 1000, { 20, 20 })); // old news
-	EXPECT_EQ(0, lending_guess({ 0, 0 }, 1000, { 20, 20 }));
-	EXPECT_EQ(20, lending_guess({ 60, 20 }, 1000, { 20, 20 }));
+	EXPECT_FALSE(lending_worthwhile(3, 60));
+	EXPECT_TRUE(lending_worthwhile(4, 60));
+	EXPECT_TRUE(lending_worthwhile(1, 0));
+	EXPECT_FALSE(lending_worthwhile(0, 0));
+	EXPECT_EQ(0, lending_estimate({ 60, 60 }, 10, { 20, 20 }));
+	EXPECT_EQ(2, lending_estimate({ 60, 60 }, 1000, { 20, 20 })); // old news
+	EXPECT_EQ(0, lending_estimate({ 0, 0 }, 1000, { 20, 20 }));
+	EXPECT_EQ(20, lending_estimate({ 60, 20 }, 1000, { 20, 20 }));
 }
 
 TEST_F(Lending, ReturnsHalfOfWhatLayIdleButKeepsAFloor)
--- a/tests/test_member.cc
+++ b/tests/test_member.cc
@@ -88,7 +88,7 @@
 		snprintf(r.address, sizeof(r.address), "127.0.0.1:1");
 		snprintf(r.data_center, sizeof(r.data_center), "dc%d", dc);
 		r.incarnation = 1;
-		member_registry(m, &r, "127.0.0.1:2", now);
+		member_registry_update(m, &r, "127.0.0.1:2", now);
 	}
 	// Everybody knows of e0 from its settings and of nobody else.
 	void
@@ -115,7 +115,7 @@
 	Verdict(const std::string &by, const std::string &of,
 	    uint64_t incarnation = 0)
 	{
-		return member_judge(nodes[by]->m, of.c_str(), incarnation, now)
+		return member_evaluate(nodes[by]->m, of.c_str(), incarnation, now)
 		    .state;
 	}
 	void
@@ -157,7 +157,7 @@
 		Register(n.second->m, "e4", 1);
 	Run(20);
 	EXPECT_EQ(MEMBER_ALIVE, Verdict("e1", "e4"));
-	member_registry_gone(nodes["e1"]->m, "e4", now); // the store was away
+	member_registry_remove(nodes["e1"]->m, "e4", now); // the store was away
 	EXPECT_EQ(MEMBER_ALIVE, Verdict("e1", "e4"));
 	Stop("e4");
 	Run(10);
@@ -165,17 +165,17 @@
 	EXPECT_EQ(MEMBER_DEAD, Verdict("e1", "e4"));
 	Register(nodes["e1"]->m, "e4", 1); // its lease was only late
 	EXPECT_EQ(MEMBER_SUSPECT, Verdict("e1", "e4"));
-	member_registry_gone(nodes["e1"]->m, "e4", now);
+	member_registry_remove(nodes["e1"]->m, "e4", now);
 	EXPECT_EQ(MEMBER_DEAD, Verdict("e1", "e4"));
 	// It is asked directly before it counts as dead.
-	member_registry_gone(nodes["e2"]->m, "e4", now);
+	member_registry_remove(nodes["e2"]->m, "e4", now);
 	EXPECT_EQ(MEMBER_SUSPECT, Verdict("e2", "e4"));
 	Run(1);
 	EXPECT_EQ(MEMBER_DEAD, Verdict("e2", "e4"));
-	member_vm_seen(nodes["e3"]->m, "e4", MEMBER_VM_GONE, now);
+	member_set_vm(nodes["e3"]->m, "e4", MEMBER_VM_GONE, now);
 	Run(1);
 	EXPECT_EQ(MEMBER_DEAD, Verdict("e3", "e4"));
-	member_vm_seen(
+	member_set_vm(
 	    nodes["e3"]->m, "e5", MEMBER_VM_GONE, now); // the list errs
 	EXPECT_EQ(MEMBER_ALIVE, Verdict("e3", "e5"));
 	Run(kForget / kHeartbeat + 10);
@@ -203,15 +203,15 @@
 	Cluster(3);
 	Run(5);
 	Run(10, "e2");
-	member_registry_gone(nodes["e2"]->m, "e0", now);
-	EXPECT_FALSE(member_acting(nodes["e2"]->m, now));
+	member_registry_remove(nodes["e2"]->m, "e0", now);
+	EXPECT_FALSE(member_may_act(nodes["e2"]->m, now));
 	member_tick(nodes["e2"]->m, now);
 	EXPECT_EQ(10 * kHeartbeat, nodes["e2"]->paused_ms);
 	member_merge(nodes["e2"]->m, &old, now); // waited in the socket
-	EXPECT_FALSE(member_acting(nodes["e2"]->m, now));
+	EXPECT_FALSE(member_may_act(nodes["e2"]->m, now));
 	EXPECT_EQ(MEMBER_ALIVE, Verdict("e2", "e0"));
 	Run(3);
-	EXPECT_TRUE(member_acting(nodes["e2"]->m, now));
+	EXPECT_TRUE(member_may_act(nodes["e2"]->m, now));
 }
 
 TEST_F(Member, APausedEntryThatIsCutOffActsAfterTheSilence)
@@ -221,9 +221,9 @@
 	nodes["e2"]->cut = true;
 	now += 10 * kHeartbeat;
 	Run(1);
-	EXPECT_FALSE(member_acting(nodes["e2"]->m, now));
+	EXPECT_FALSE(member_may_act(nodes["e2"]->m, now));
 	Run(kSilence / kHeartbeat);
-	EXPECT_TRUE(member_acting(nodes["e2"]->m, now));
+	EXPECT_TRUE(member_may_act(nodes["e2"]->m, now));
 	EXPECT_EQ(MEMBER_SUSPECT, Verdict("e2", "e1")); // by silence alone
 	nodes["e2"]->cut = false;
 	Run(2 * kSilence / kHeartbeat + 8); // both sides find each other again
@@ -270,7 +270,7 @@
 		    "e5", member_shard_owner(n.second->m, "dc0.r1")->owner);
 	}
 	EXPECT_EQ(42u, member_find(nodes["e0"]->m, "e3")->record.revision);
-	member_store_witnesses(nodes["e0"]->m, now, &heard, &answered);
+	member_count_store_reachable(nodes["e0"]->m, now, &heard, &answered);
 	EXPECT_EQ(8u, heard);
 	EXPECT_EQ(1u, answered);
 }
--- a/tests/test_outbox.cc
+++ b/tests/test_outbox.cc
@@ -61,7 +61,7 @@
 	void
 	Send(double bytes)
 	{
-		pacer_spend(&pacer_, bytes, now_);
+		pacer_consume(&pacer_, bytes, now_);
 		queued_ += bytes;
 		if (queued_ > most_queued_)
 			most_queued_ = queued_;
@@ -95,7 +95,7 @@
 			orders = 0;
 			messages_++;
 		}
-		outbox_sent(&outbox_, now_);
+		outbox_flushed(&outbox_, now_);
 	}
 
 	void
@@ -108,7 +108,7 @@
 		}
 		looks_due_ += kLooksPerSecond / 1000.0;
 		waiting_ += starts_per_s_ / 1000;
-		uint32_t allowed = outbox_starts(&outbox_, Gathered(), now_);
+		uint32_t allowed = outbox_start_budget(&outbox_, Gathered(), now_);
 		for (; looks_due_ >= 1; looks_due_--)
 			Order(kLookBytes);
 		for (; waiting_ >= 1 && allowed > 0; allowed--, waiting_--) {
@@ -119,7 +119,7 @@
 			return;
 		if (now_ - gathered_since_ > longest_gathered_)
 			longest_gathered_ = now_ - gathered_since_;
-		if (now_ >= outbox_due_ms(&outbox_))
+		if (now_ >= outbox_flush_ms(&outbox_))
 			Flush();
 	}
 
@@ -209,10 +209,10 @@
 
 	pacer_init(&pacer, kRate, 100, 0);
 	outbox_init(&outbox, &pacer);
-	uint32_t empty = outbox_starts(&outbox, 0, 0);
+	uint32_t empty = outbox_start_budget(&outbox, 0, 0);
 	EXPECT_FALSE(outbox.full);
-	EXPECT_LT(outbox_starts(&outbox, 25000, 0), empty);
-	outbox_starts(&outbox, 25001, 0);
+	EXPECT_LT(outbox_start_budget(&outbox, 25000, 0), empty);
+	outbox_start_budget(&outbox, 25001, 0);
 	EXPECT_TRUE(outbox.full);
-	EXPECT_EQ(outbox_starts(&outbox, 75001, 0), 0u);
+	EXPECT_EQ(outbox_start_budget(&outbox, 75001, 0), 0u);
 }
--- a/tests/test_pacer.cc
+++ b/tests/test_pacer.cc
@@ -21,8 +21,8 @@
 		pacer_init(&p, kRate, 100, 0);
 		for (int64_t now_ms = 0; now_ms < 10000; now_ms++) {
 			offered += load * kRate / 1000;
-			while (offered >= 250 && pacer_left(&p, now_ms) > 0) {
-				pacer_spend(&p, 250, now_ms);
+			while (offered >= 250 && pacer_available(&p, now_ms) > 0) {
+				pacer_consume(&p, 250, now_ms);
 				offered -= 250;
 				sent += 250;
 			}
@@ -41,12 +41,12 @@
 	struct pacer p;
 
 	pacer_init(&p, kRate, 100, 1000);
-	pacer_spend(&p, 75000, 1000);
-	EXPECT_LT(pacer_left(&p, 1000), 0);
+	pacer_consume(&p, 75000, 1000);
+	EXPECT_LT(pacer_available(&p, 1000), 0);
 	EXPECT_EQ(pacer_wait_ms(&p, 1000), 201);
-	EXPECT_LT(pacer_left(&p, 1199), 0);
+	EXPECT_LT(pacer_available(&p, 1199), 0);
 	EXPECT_EQ(pacer_wait_ms(&p, 1201), 0);
-	EXPECT_LE(pacer_left(&p, 100000), 25000);
+	EXPECT_LE(pacer_available(&p, 100000), 25000);
 }
 
 TEST(Pacer, TimeThatStandsStillFillsNothing)
@@ -54,7 +54,7 @@
 	struct pacer p;
 
 	pacer_init(&p, kRate, 100, 1000);
-	pacer_spend(&p, 25000, 1000);
-	EXPECT_EQ(pacer_left(&p, 1000), 0);
-	EXPECT_EQ(pacer_left(&p, 900), 0);
+	pacer_consume(&p, 25000, 1000);
+	EXPECT_EQ(pacer_available(&p, 1000), 0);
+	EXPECT_EQ(pacer_available(&p, 900), 0);
 }
--- a/tests/test_route.cc
+++ b/tests/test_route.cc
@@ -39,7 +39,7 @@
 			members.push_back({ data[i].id.c_str(), powers[i],
 			    i < near ? "here" : "there", &data[i] });
 		}
-		routes_members(&routes, members.data(), members.size());
+		routes_set_members(&routes, members.data(), members.size());
 	}
 	~Fleet()
 	{
@@ -64,10 +64,10 @@
 	Fleet fleet({ 0.25, 0.25, 0.25 }, 3);
 	size_t first = fleet.Choose("w1");
 
-	route_lost(&fleet.routes, "w1", 1000);
+	route_call_lost(&fleet.routes, "w1", 1000);
 	EXPECT_EQ(fleet.Choose("w1"), first);
-	route_answered(&fleet.routes, "w1");
-	route_lost(&fleet.routes, "w1", 1000);
+	route_call_answered(&fleet.routes, "w1");
+	route_call_lost(&fleet.routes, "w1", 1000);
 	EXPECT_EQ(fleet.Choose("w1"), first);
 }
 
@@ -82,11 +82,11 @@
 
 	for (int i = 0; i < 40; i++) {
 		seen[fleet.Choose("w1")]++;
-		route_lost(&fleet.routes, "w1", 1000);
+		route_call_lost(&fleet.routes, "w1", 1000);
 	}
 	EXPECT_EQ(seen.size(), 6u);
 	size_t last = fleet.Choose("w1");
-	route_answered(&fleet.routes, "w1");
+	route_call_answered(&fleet.routes, "w1");
 	EXPECT_EQ(fleet.Choose("w1", 30000), last);
 }
 
@@ -98,7 +98,7 @@
 	size_t before = fleet.Choose("w2");
 
 	for (int i = 0; i < 10; i++)
-		route_lost(&fleet.routes, "w1", 1000);
+		route_call_lost(&fleet.routes, "w1", 1000);
 	EXPECT_EQ(fleet.Choose("w2"), before);
 }
 
@@ -120,7 +120,7 @@
 	bool far = false;
 
 	for (int i = 0; i < 20; i++) {
-		route_lost(&fleet.routes, "w1", 1000);
+		route_call_lost(&fleet.routes, "w1", 1000);
 		far = far || fleet.Choose("w1") != 0;
 	}
 	EXPECT_TRUE(far);
@@ -132,7 +132,7 @@
 	size_t first = fleet.Choose("w1");
 
 	for (int i = 0; i < 7; i++)
-		route_lost(&fleet.routes, "w1", 1000);
+		route_call_lost(&fleet.routes, "w1", 1000);
 	EXPECT_EQ(fleet.Choose("w1", 61000), first);
 	routes_expire(&fleet.routes, 61000);
 	EXPECT_FALSE(RB_EMPTY(&fleet.routes.tree));
@@ -151,7 +151,7 @@
 	for (int i = 0; i < 890; i++)
 		fleet.Choose("w" + std::to_string(i));
 	for (int i = 0; i < 500; i++)
-		route_lost(
+		route_call_lost(
 		    &fleet.routes, ("w" + std::to_string(i)).c_str(), 1000);
 	uint64_t before = fleet.routes.evaluations;
 	for (int round = 0; round < 10; round++) {
@@ -183,7 +183,7 @@
 	fleet.data[0].until_ms = 2000;
 	EXPECT_EQ(fleet.Choose("w1", 1000), SIZE_MAX);
 	EXPECT_EQ(fleet.Choose("w1", 2000), 0u);
-	routes_members(&fleet.routes, nullptr, 0);
+	routes_set_members(&fleet.routes, nullptr, 0);
 	EXPECT_EQ(fleet.Choose("w1", 2000), SIZE_MAX);
 }
 
--- a/tests/test_shard.cc
+++ b/tests/test_shard.cc
@@ -64,8 +64,8 @@
 		    owner.none || owner.self || owner.left || owner.vm_gone;
 		bool witnesses = !owner.registered &&
 		    owner.silent_ms >= (alone ? 10000 : 5000);
-		EXPECT_EQ(shard_judge(&options, &owner, is_home, alone) !=
-			SHARD_KEEP_OFF,
+		EXPECT_EQ(shard_evaluate(&options, &owner, is_home, alone) !=
+			SHARD_NO_TAKEOVER,
 		    is_home && (word || witnesses))
 		    << bits;
 	}
--- a/tests/test_share.cc
+++ b/tests/test_share.cc
@@ -25,11 +25,11 @@
 		for (int64_t cpu : { -1, 0, 2500, 40000, 100000 }) {
 			struct share_limit limit = limit_of(cpu, tasks);
 			const char *shards[] = { "a", "b", "c", "d", "e" };
-			size_t n = share_shards(&limit, "t", shards, 5);
+			size_t n = share_rank_shards(&limit, "t", shards, 5);
 			int64_t sum = 0;
 			ASSERT_GE(n, 1U);
 			for (size_t i = 0; i < n; i++) {
-				struct share_use use = {};
+				struct share_usage use = {};
 				while (share_allows(&limit, &use, &one, n)) {
 					use.tasks++;
 					use.size.cpu_millis += 1000;
@@ -53,13 +53,13 @@
 	std::vector<const char *> a = { "a", "b", "c", "d", "e" };
 	std::vector<const char *> b = { "d", "a", "e", "c", "b" };
 
-	EXPECT_EQ(share_shards(&limit, "t", a.data(), 5), 3U);
-	EXPECT_EQ(share_shards(&limit, "t", b.data(), 5), 3U);
+	EXPECT_EQ(share_rank_shards(&limit, "t", a.data(), 5), 3U);
+	EXPECT_EQ(share_rank_shards(&limit, "t", b.data(), 5), 3U);
 	for (size_t i = 0; i < 5; i++)
 		EXPECT_STREQ(a[i], b[i]);
 	limit = limit_of(SHARE_UNLIMITED, SHARE_UNLIMITED);
-	EXPECT_EQ(share_shards(&limit, "t", a.data(), 5), 5U);
-	EXPECT_EQ(share_shards(&limit, "t", a.data(), 0), 0U);
+	EXPECT_EQ(share_rank_shards(&limit, "t", a.data(), 5), 5U);
+	EXPECT_EQ(share_rank_shards(&limit, "t", a.data(), 0), 0U);
 }
 
 } // namespace
