--- a/core/bind.c
+++ b/core/bind.c
@@ -167,7 +167,8 @@
 		r.index = s->best.index;
 		r.cost = s->best.total;
 		r.runner_up = s->found > 1 ? s->next.total : 0;
-		r.reason = s->found > 1 ? why(&s->best, &s->next) : BIND_ONLY_FIT;
+		r.reason =
+		    s->found > 1 ? why(&s->best, &s->next) : BIND_ONLY_FIT;
 		return r;
 	}
 	r.reason = BIND_NO_FIT;
@@ -200,7 +201,8 @@
 must_wait(const struct bind_options *o, const struct bind_task *t)
 {
 	return o->unmeasured_max > 0 && !t->urgent && !t->resumed &&
-	    t->job_running >= o->unmeasured_max && t->job_measured < o->unmeasured_max;
+	    t->job_running >= o->unmeasured_max &&
+	    t->job_measured < o->unmeasured_max;
 }
 
 struct bind_result
--- a/core/bind.h
+++ b/core/bind.h
@@ -25,7 +25,8 @@
 	BIND_NO_FIT, /* none: no room in those looked at */
 	BIND_ALL_FAILING, /* none: those with room are failing */
 	BIND_TOO_LARGE, /* none: larger than any VM */
-	BIND_JOB_NOT_MEASURED, /* none yet: the first tasks of its job go first */
+	BIND_JOB_NOT_MEASURED, /* none yet: the first tasks of its job go first
+				*/
 	BIND_NONE /* none: no worker at all */
 };
 
@@ -81,8 +82,8 @@
 	double throughput_weight; /* of the policy; 1 */
 	double eviction_weight; /* of the policy; 1 */
 	double explore; /* worth of learning about an unknown pair; 0.02 */
-	int unmeasured_max; /* tasks of a job that may run before its use has been
-			   measured that often; 0: any number; 2 */
+	int unmeasured_max; /* tasks of a job that may run before its use has
+			   been measured that often; 0: any number; 2 */
 	double headroom; /* share of a VM kept free of normal tasks; 0.02 */
 	int64_t ahead_ms; /* no more is bound ahead to a worker whose work
 			     lasts so long; 0: no limit; 0 */
@@ -102,8 +103,9 @@
  * may be NULL; both get ctx.
  */
 struct bind_result bind_pick(const struct bind_options *,
-    const struct bind_task *, struct bind_worker *const *, size_t n, bind_fits_cb,
-    bind_domain_count_cb, void *ctx, uint64_t random, int64_t now_ms);
+    const struct bind_task *, struct bind_worker *const *, size_t n,
+    bind_fits_cb, bind_domain_count_cb, void *ctx, uint64_t random,
+    int64_t now_ms);
 
 /*
  * The worker to bind a task ahead to, startable only there: among those
--- a/core/blame.c
+++ b/core/blame.c
@@ -63,7 +63,8 @@
 }
 
 enum blame
-blame_assess(const struct blame_rate *rate, uint32_t crashes, int64_t exposed_ms)
+blame_assess(
+    const struct blame_rate *rate, uint32_t crashes, int64_t exposed_ms)
 {
 	double chance, others;
 	size_t most;
--- a/core/choose.c
+++ b/core/choose.c
@@ -108,7 +108,8 @@
 	best.total_ms = INFINITY;
 	next = best;
 	sample_start(&s, n, random);
-	while (found < o->candidates && (found == 0 || looked < o->examine_max)) {
+	while (
+	    found < o->candidates && (found == 0 || looked < o->examine_max)) {
 		if ((i = sample_next(&s)) == n)
 			break;
 		looked++;
--- a/core/credit.c
+++ b/core/credit.c
@@ -115,7 +115,8 @@
 }
 
 struct credit_worker *
-credit_row_ensure(struct credit_table *book, const char *worker, const char *shard)
+credit_row_ensure(
+    struct credit_table *book, const char *worker, const char *shard)
 {
 	struct credit_worker *row;
 
@@ -237,8 +238,8 @@
 }
 
 enum credit_error
-credit_take(struct credit_table *book, const char *worker, enum credit_kind kind,
-    uint64_t *epoch)
+credit_take(struct credit_table *book, const char *worker,
+    enum credit_kind kind, uint64_t *epoch)
 {
 	struct credit_worker *row;
 	struct credit_amount need;
--- a/core/credit.h
+++ b/core/credit.h
@@ -83,7 +83,8 @@
 	struct credit_amount low; /* least spare since the last credit_idle */
 	/* Owner only. */
 	struct credit_amount capacity;
-	struct credit_amount used_at_fence; /* used then, not known to have ended */
+	struct credit_amount
+	    used_at_fence; /* used then, not known to have ended */
 	struct credit_amount lost; /* abandoned, or with dead peers */
 	struct credit_grants grants;
 };
@@ -198,8 +199,8 @@
  * A borrower's statement: so many slots of the shard it holds, spare or under
  * calls.  One that holds none says nothing.
  */
-void credit_set_holding(struct credit_table *, const char *peer, const char *shard,
-    uint64_t epoch, int slots, int64_t now_ms);
+void credit_set_holding(struct credit_table *, const char *peer,
+    const char *shard, uint64_t epoch, int slots, int64_t now_ms);
 /*
  * Slots of the shard that nobody is known to hold.  Credits on their way and
  * statements a few seconds old make it go up and down; what stays in it for
--- a/core/creditgrant.c
+++ b/core/creditgrant.c
@@ -78,8 +78,8 @@
 }
 
 void
-credit_abandoned(struct credit_table *book, const char *peer, const char *worker,
-    uint64_t epoch, struct credit_amount amount)
+credit_abandoned(struct credit_table *book, const char *peer,
+    const char *worker, uint64_t epoch, struct credit_amount amount)
 {
 	struct credit_worker *row;
 
@@ -92,7 +92,8 @@
 }
 
 int
-credit_expire_peers(struct credit_table *book, credit_dead_cb *is_dead, void *ctx)
+credit_expire_peers(
+    struct credit_table *book, credit_dead_cb *is_dead, void *ctx)
 {
 	const struct credit_worker *first, *next;
 	struct credit_grant *grant, *following;
@@ -149,8 +150,8 @@
 }
 
 void
-credit_set_holding(struct credit_table *book, const char *peer, const char *shard,
-    uint64_t epoch, int slots, int64_t now_ms)
+credit_set_holding(struct credit_table *book, const char *peer,
+    const char *shard, uint64_t epoch, int slots, int64_t now_ms)
 {
 	struct credit_holding *st;
 
--- a/core/elect.c
+++ b/core/elect.c
@@ -165,8 +165,8 @@
 }
 
 bool
-elect_heartbeat(struct elect *e, const struct elect_leader *leader, bool has_store,
-    uint32_t rank, uint32_t members, int64_t now_ms)
+elect_heartbeat(struct elect *e, const struct elect_leader *leader,
+    bool has_store, uint32_t rank, uint32_t members, int64_t now_ms)
 {
 	if (leader->term < e->leader.term)
 		return false;
@@ -250,7 +250,8 @@
 	if (strcmp(record->leader.id, e->opt.self) == 0 &&
 	    record->leader.incarnation == e->opt.incarnation &&
 	    e->role == ELECT_CANDIDATE) {
-		elect_write_done(e, ELECT_WRITE_DONE, record->leader.revision, now_ms);
+		elect_write_done(
+		    e, ELECT_WRITE_DONE, record->leader.revision, now_ms);
 		return;
 	}
 	if (e->role == ELECT_LEADER) {
@@ -264,8 +265,8 @@
 }
 
 void
-elect_write_done(
-    struct elect *e, enum elect_write_result result, int64_t revision, int64_t now_ms)
+elect_write_done(struct elect *e, enum elect_write_result result,
+    int64_t revision, int64_t now_ms)
 {
 	if (e->role != ELECT_CANDIDATE)
 		return;
--- a/core/elect.h
+++ b/core/elect.h
@@ -29,7 +29,12 @@
 	int64_t revision; /* of its record in the store */
 };
 
-enum elect_role { ELECT_FOLLOWER, ELECT_PRECANDIDATE, ELECT_CANDIDATE, ELECT_LEADER };
+enum elect_role {
+	ELECT_FOLLOWER,
+	ELECT_PRECANDIDATE,
+	ELECT_CANDIDATE,
+	ELECT_LEADER
+};
 
 /* What a read of the leader's record and pulse gave. */
 struct elect_record {
@@ -90,8 +95,8 @@
 void elect_tick(struct elect *, int64_t now_ms);
 
 /* A beat of a leader; false: an earlier one than that we know. */
-bool elect_heartbeat(struct elect *, const struct elect_leader *, bool has_store,
-    uint32_t rank, uint32_t members, int64_t now_ms);
+bool elect_heartbeat(struct elect *, const struct elect_leader *,
+    bool has_store, uint32_t rank, uint32_t members, int64_t now_ms);
 /* Should a member that asks about the leader of that term take over? */
 bool elect_grants_vote(const struct elect *, uint64_t term, int64_t now_ms);
 void elect_vote(struct elect *, uint64_t term, bool grant, bool resigned);
@@ -105,7 +110,11 @@
 /* record NULL: the read failed. */
 void elect_read(struct elect *, const struct elect_record *, int64_t now_ms);
 
-enum elect_write_result { ELECT_WRITE_DONE, ELECT_WRITE_CONFLICT, ELECT_WRITE_UNKNOWN };
+enum elect_write_result {
+	ELECT_WRITE_DONE,
+	ELECT_WRITE_CONFLICT,
+	ELECT_WRITE_UNKNOWN
+};
 void elect_write_done(
     struct elect *, enum elect_write_result, int64_t revision, int64_t now_ms);
 /* Somebody leads a later term, or we give up the lead. */
--- a/core/evict.c
+++ b/core/evict.c
@@ -78,7 +78,8 @@
 	 * whether it helped.  Taken in, it would evict one task after another
 	 * for a disturbance that is already over.
 	 */
-	if (s->last_action_ms != 0 && measured_ms < s->last_action_ms + o->settle_ms)
+	if (s->last_action_ms != 0 &&
+	    measured_ms < s->last_action_ms + o->settle_ms)
 		return;
 	s->seen++;
 	ratio = p99_ms / s->target_p99_ms;
--- a/core/gossip.c
+++ b/core/gossip.c
@@ -179,8 +179,8 @@
 }
 
 void
-gossip_send(
-    struct members *m, struct member *target, bool probe_requested, int64_t now_ms)
+gossip_send(struct members *m, struct member *target, bool probe_requested,
+    int64_t now_ms)
 {
 	struct member_digest digest;
 
--- a/core/press.c
+++ b/core/interference.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 #include "graph.h"
-#include "press.h"
+#include "interference.h"
 
 /*
  * The shortest tail as a share of the target, before any was seen; and as a
@@ -59,8 +59,8 @@
 
 struct interference {
 	char names[INTERFERENCE_IMAGES_MAX][GRAPH_NAME_MAX];
-	double
-	    shortest_ms[INTERFERENCE_IMAGES_MAX]; /* tail without load; 0: unknown */
+	double shortest_ms[INTERFERENCE_IMAGES_MAX]; /* tail without load; 0:
+							unknown */
 	int n;
 	struct pair pairs[INTERFERENCE_IMAGES_MAX][INTERFERENCE_IMAGES_MAX];
 };
@@ -137,7 +137,8 @@
 
 /* Follow the length that a small share of the tails is below. */
 static void
-see_shortest(struct interference *p, int serving, double tail_ms, double target_ms)
+see_shortest(
+    struct interference *p, int serving, double tail_ms, double target_ms)
 {
 	double *seen_ms, base_ms;
 
@@ -152,7 +153,8 @@
 }
 
 double
-interference_load_limit(const struct interference *p, int serving, double target_ms)
+interference_load_limit(
+    const struct interference *p, int serving, double target_ms)
 {
 	return 1 - shortest(p, serving, target_ms) / target_ms;
 }
@@ -219,9 +221,9 @@
 }
 
 void
-interference_update(struct interference *p, int serving, struct load_estimate *load,
-    const struct filler_usage *usages, size_t n, double tail_ms, double target_ms,
-    int64_t now_ms)
+interference_update(struct interference *p, int serving,
+    struct load_estimate *load, const struct filler_usage *usages, size_t n,
+    double tail_ms, double target_ms, int64_t now_ms)
 {
 	double base_ms, error, expected, factor, gain, slope, sum, before, seen;
 	size_t i;
@@ -237,8 +239,8 @@
 	sum = tail_variance(seen);
 	for (i = 0; i < n; i++) {
 		slope = before * usages[i].share;
-		factor +=
-		    interference_effect(p, serving, usages[i].filler) * usages[i].share;
+		factor += interference_effect(p, serving, usages[i].filler) *
+		    usages[i].share;
 		if (usages[i].filler != IMAGE_NONE)
 			sum += slope * slope *
 			    pair_of(p, serving, usages[i].filler)->variance;
@@ -253,7 +255,8 @@
 }
 
 void
-interference_foreach(const struct interference *p, interference_pair_cb *tell, void *ctx)
+interference_foreach(
+    const struct interference *p, interference_pair_cb *tell, void *ctx)
 {
 	const struct pair *pair;
 	int i, j;
@@ -268,8 +271,8 @@
 }
 
 void
-interference_set_effect(
-    struct interference *p, const char *serving, const char *filler, double effect)
+interference_set_effect(struct interference *p, const char *serving,
+    const char *filler, double effect)
 {
 	struct pair *pair;
 	int i, j;
--- a/core/press.h
+++ b/core/interference.h
@@ -1,5 +1,5 @@
-#ifndef PRESS_H
-#define PRESS_H
+#ifndef INTERFERENCE_H
+#define INTERFERENCE_H
 
 #include <stdbool.h>
 #include <stddef.h>
@@ -49,21 +49,24 @@
 int interference_image(struct interference *, const char *name);
 
 /* The tail of one of the step's tasks, and what was beside it meanwhile. */
-void interference_update(struct interference *, int serving, struct load_estimate *,
-    const struct filler_usage *, size_t n, double tail_ms, double target_ms,
-    int64_t now_ms);
+void interference_update(struct interference *, int serving,
+    struct load_estimate *, const struct filler_usage *, size_t n,
+    double tail_ms, double target_ms, int64_t now_ms);
 /* The load to reckon with, also before anything was learnt. */
 double load_estimate_value(const struct load_estimate *);
 /* Rise of the load by a filler that uses all of the worker's processors. */
-double interference_effect(const struct interference *, int serving, int filler);
+double interference_effect(
+    const struct interference *, int serving, int filler);
 /* The load, fillers' part included, at which the tail reaches the target. */
-double interference_load_limit(const struct interference *, int serving, double target_ms);
+double interference_load_limit(
+    const struct interference *, int serving, double target_ms);
 
 /* Effects that are known, to hand them to a next leader. */
 typedef void interference_pair_cb(
     const char *serving, const char *filler, double effect, void *ctx);
-void interference_foreach(const struct interference *, interference_pair_cb *, void *ctx);
-void interference_set_effect(
-    struct interference *, const char *serving, const char *filler, double effect);
+void interference_foreach(
+    const struct interference *, interference_pair_cb *, void *ctx);
+void interference_set_effect(struct interference *, const char *serving,
+    const char *filler, double effect);
 
-#endif /* PRESS_H */
+#endif /* INTERFERENCE_H */
--- a/core/learn.c
+++ b/core/learn.c
@@ -221,8 +221,8 @@
 }
 
 void
-learn_shared_cpus(const struct learn_worker *w, uint64_t without, int64_t from_ms,
-    int64_t to_ms, double cpus[LEARN_KINDS_MAX])
+learn_shared_cpus(const struct learn_worker *w, uint64_t without,
+    int64_t from_ms, int64_t to_ms, double cpus[LEARN_KINDS_MAX])
 {
 	const struct learn_tenant *t;
 	int64_t from, to;
--- a/core/learn.h
+++ b/core/learn.h
@@ -111,7 +111,8 @@
     int kind, int64_t elapsed_ms, int64_t declared_ms, int64_t ended_ms);
 
 /* One call that we made ourselves, answered after ms. */
-void learn_call_latency(struct learn_worker *, int kind, double ms, int64_t now_ms);
+void learn_call_latency(
+    struct learn_worker *, int kind, double ms, int64_t now_ms);
 
 /*
  * The latency of a call to expect on this worker, in milliseconds: learnt
--- a/core/learnpair.c
+++ b/core/learnpair.c
@@ -202,8 +202,8 @@
 }
 
 double
-learn_contribution(struct learn_worker *w, int victim, int cause, int64_t cpu_millis,
-    int64_t now_ms)
+learn_contribution(struct learn_worker *w, int victim, int cause,
+    int64_t cpu_millis, int64_t now_ms)
 {
 	return learn_pair_now(w->learn, victim, cause, now_ms).mean *
 	    (double)cpu_millis / MILLIS_PER_PROCESSOR;
--- a/core/ledger.h
+++ b/core/ledger.h
@@ -111,7 +111,8 @@
 	TAILQ_ENTRY(ledger_item) link;
 	char *name;
 	int64_t revision; /* the item's own, compared by the write */
-	uint32_t remaining_first; /* what stays in the inbox: the first index, */
+	uint32_t
+	    remaining_first; /* what stays in the inbox: the first index, */
 	uint32_t remaining_count; /* and how many; 0: the item is deleted */
 	uint64_t changed_at;
 };
@@ -250,7 +251,8 @@
 	uint32_t lost_after; /* unanswered calls until a worker is lost */
 	uint32_t max_failures; /* of a task before it is given up */
 	uint32_t max_no_room; /* refusals before another worker is picked */
-	uint32_t max_job_removals; /* jobs taken out by one write; 0: no limit */
+	uint32_t
+	    max_job_removals; /* jobs taken out by one write; 0: no limit */
 	const struct ledger_actions *actions;
 	void *ctx;
 };
@@ -312,8 +314,8 @@
  */
 enum ledger_error ledger_load_task(struct ledger *, const struct task_record *);
 enum ledger_error ledger_load_job(struct ledger *, const struct ledger_job *);
-void ledger_acquire(struct ledger *, const struct ledger_head *, int64_t revision,
-    uint64_t min_epoch, int64_t now_ms);
+void ledger_acquire(struct ledger *, const struct ledger_head *,
+    int64_t revision, uint64_t min_epoch, int64_t now_ms);
 /* Give the ownership up to take it again at a higher epoch at once; what is
  * on its way to the store for this one is outbid. */
 void ledger_reacquire(struct ledger *);
--- a/core/ledger_commit.c
+++ b/core/ledger_commit.c
@@ -7,8 +7,8 @@
 static bool all_fenced(struct ledger *);
 
 void
-ledger_acquire(struct ledger *l, const struct ledger_head *head, int64_t revision,
-    uint64_t min_epoch, int64_t now_ms)
+ledger_acquire(struct ledger *l, const struct ledger_head *head,
+    int64_t revision, uint64_t min_epoch, int64_t now_ms)
 {
 	l->epoch = head->epoch > min_epoch ? head->epoch + 1 : min_epoch + 1;
 	l->revision = revision;
@@ -82,7 +82,8 @@
 	l->written = l->change;
 	n = 0;
 	TAILQ_FOREACH (job, &l->jobs, link) {
-		if (l->opt.max_job_removals != 0 && n >= l->opt.max_job_removals)
+		if (l->opt.max_job_removals != 0 &&
+		    n >= l->opt.max_job_removals)
 			break;
 		if (job->open == 0 && job->removed_at == 0)
 			job->removed_at = l->change;
--- a/core/lending.c
+++ b/core/lending.c
@@ -75,7 +75,8 @@
 }
 
 int
-lending_estimate(struct lending_load told, int64_t age_ms, struct lending_load own)
+lending_estimate(
+    struct lending_load told, int64_t age_ms, struct lending_load own)
 {
 	int offer;
 
--- a/core/lending.h
+++ b/core/lending.h
@@ -25,7 +25,8 @@
  * How many slots the lender should give so that both hold in proportion to
  * what they need; never below 0.
  */
-int lending_fair_share(struct lending_load lender, struct lending_load borrower);
+int lending_fair_share(
+    struct lending_load lender, struct lending_load borrower);
 
 /*
  * How many of its spare slots the lender gives: what is fair, but at least
--- a/core/member.c
+++ b/core/member.c
@@ -145,7 +145,8 @@
 
 /* Does a witness other than silence speak against it? */
 bool
-member_unregistered_or_gone(const struct members *m, const struct member *member)
+member_unregistered_or_gone(
+    const struct members *m, const struct member *member)
 {
 	if (member->vm == MEMBER_VM_GONE)
 		return true;
--- a/core/member.h
+++ b/core/member.h
@@ -155,8 +155,8 @@
     const char *listen, int64_t now_ms);
 void member_registry_remove(struct members *, const char *id, int64_t now_ms);
 /*
- * Around a reading of the whole registry, each key told by member_registry_update in
- * between: who isn't in it has no lease.
+ * Around a reading of the whole registry, each key told by
+ * member_registry_update in between: who isn't in it has no lease.
  */
 void member_registry_begin(struct members *);
 void member_registry_loaded(struct members *, int64_t now_ms);
--- a/core/outbox.h
+++ b/core/outbox.h
@@ -23,7 +23,8 @@
  * They wait for the link in the order in which they should go; what can't wait
  * is ordered whatever this says.
  */
-uint32_t outbox_start_budget(struct outbox *, double gathered_bytes, int64_t now_ms);
+uint32_t outbox_start_budget(
+    struct outbox *, double gathered_bytes, int64_t now_ms);
 /*
  * When gathered orders should go out; a time that has passed: now.  While the
  * link is full they are gathered for longer, so that more of it is left for
--- a/core/recent.c
+++ b/core/recent_ids.c
@@ -3,7 +3,7 @@
 
 #include <xxhash.h>
 
-#include "recent.h"
+#include "recent_ids.h"
 
 struct mark {
 	uint64_t hash; /* 0: empty */
--- a/core/recent.h
+++ b/core/recent_ids.h
@@ -1,5 +1,5 @@
-#ifndef RECENT_H
-#define RECENT_H
+#ifndef RECENT_IDS_H
+#define RECENT_IDS_H
 
 #include <stdbool.h>
 #include <stdint.h>
@@ -26,4 +26,4 @@
 /* It, or an id of the same hash, went out within keep_ms and is still known. */
 bool recent_ids_has(const struct recent_ids *, const char *id, int64_t now_ms);
 
-#endif /* RECENT_H */
+#endif /* RECENT_IDS_H */
--- a/core/kept.c
+++ b/core/response_cache.c
@@ -5,7 +5,7 @@
 
 #include <xxhash.h>
 
-#include "kept.h"
+#include "response_cache.h"
 
 #define TABLE_SIZE 1024
 
--- a/core/kept.h
+++ b/core/response_cache.h
@@ -1,5 +1,5 @@
-#ifndef KEPT_H
-#define KEPT_H
+#ifndef RESPONSE_CACHE_H
+#define RESPONSE_CACHE_H
 
 #include <stddef.h>
 #include <stdint.h>
@@ -36,7 +36,8 @@
 };
 
 /* NULL without memory. */
-struct response_cache *response_cache_open(const struct response_cache_options *);
+struct response_cache *response_cache_open(
+    const struct response_cache_options *);
 void response_cache_close(struct response_cache *);
 
 /* The hash by which a request is told from another one with its id. */
@@ -50,4 +51,4 @@
 int response_cache_get(struct response_cache *, const char *id, uint64_t hash,
     int64_t now_ms, struct cached_response *);
 
-#endif /* KEPT_H */
+#endif /* RESPONSE_CACHE_H */
--- a/core/sched_crash.c
+++ b/core/sched_crash.c
@@ -126,7 +126,8 @@
 {
 	struct sched_lost_incarnation *life, *next;
 
-	for (life = LIST_FIRST(&s->lost_incarnations); life != NULL; life = next) {
+	for (life = LIST_FIRST(&s->lost_incarnations); life != NULL;
+	     life = next) {
 		next = LIST_NEXT(life, link);
 		if (strcmp(life->id, worker->id) == 0)
 			settle_life(s, life, cause, now_ms);
@@ -134,11 +135,13 @@
 }
 
 void
-crash_worker_listed(struct sched *s, const struct sched_worker *worker, int64_t now_ms)
+crash_worker_listed(
+    struct sched *s, const struct sched_worker *worker, int64_t now_ms)
 {
 	struct sched_lost_incarnation *life, *next;
 
-	for (life = LIST_FIRST(&s->lost_incarnations); life != NULL; life = next) {
+	for (life = LIST_FIRST(&s->lost_incarnations); life != NULL;
+	     life = next) {
 		next = LIST_NEXT(life, link);
 		if (worker->serial > life->serial &&
 		    strcmp(life->address, worker->address) == 0 &&
@@ -171,7 +174,8 @@
 	    now_ms - s->crash_rate.at_ms < WATCH_EVERY_MS)
 		return;
 	blame_update_rate(&s->crash_rate, count_up(s), now_ms);
-	for (life = LIST_FIRST(&s->lost_incarnations); life != NULL; life = next) {
+	for (life = LIST_FIRST(&s->lost_incarnations); life != NULL;
+	     life = next) {
 		next = LIST_NEXT(life, link);
 		if (now_ms - life->at_ms > LIFE_KEEP_MS)
 			drop_life(life);
--- a/core/sched_health.c
+++ b/core/sched_health.c
@@ -104,7 +104,8 @@
 }
 
 void
-health_check_progress(struct sched *s, struct sched_worker *worker, int64_t now_ms)
+health_check_progress(
+    struct sched *s, struct sched_worker *worker, int64_t now_ms)
 {
 	struct sched_run *run;
 
--- a/core/sched_inherit.c
+++ b/core/sched_inherit.c
@@ -64,7 +64,8 @@
 worker_is_empty(const struct sched_worker *worker)
 {
 	if (!worker->fenced)
-		return worker->inherited_tasks != NULL && worker->ninherited_tasks == 0;
+		return worker->inherited_tasks != NULL &&
+		    worker->ninherited_tasks == 0;
 	return TAILQ_EMPTY(&worker->runs) && SLIST_EMPTY(&worker->strays);
 }
 
--- a/core/sched_int.h
+++ b/core/sched_int.h
@@ -51,7 +51,8 @@
 void adopt_strays(struct sched *, struct sched_job *, int64_t now_ms);
 
 /* sched_worker.c */
-void worker_incarnation_ended(struct sched *, struct sched_worker *, int64_t now_ms);
+void worker_incarnation_ended(
+    struct sched *, struct sched_worker *, int64_t now_ms);
 void worker_call_failed(struct sched *, struct sched_worker *, int64_t now_ms);
 /* Something happened to it: its step is due. */
 void worker_schedule(struct sched *, struct sched_worker *);
@@ -72,7 +73,8 @@
 void crash_resolve(struct sched *, const struct sched_worker *, enum sched_loss,
     int64_t now_ms);
 /* It is in the list: what was at its address before has crashed. */
-void crash_worker_listed(struct sched *, const struct sched_worker *, int64_t now_ms);
+void crash_worker_listed(
+    struct sched *, const struct sched_worker *, int64_t now_ms);
 void crash_update_rate(struct sched *, int64_t now_ms);
 void crash_free(struct sched *);
 
@@ -102,7 +104,8 @@
 /* Its clock now, as far as it is known. */
 int64_t worker_clock(const struct sched_worker *, int64_t now_ms);
 /* When its clock has surely passed a time on it. */
-int64_t worker_deadline_local_ms(const struct sched_worker *, int64_t worker_ms);
+int64_t worker_deadline_local_ms(
+    const struct sched_worker *, int64_t worker_ms);
 /* When a worker that hasn't answered this leader has surely lapsed. */
 int64_t lease_former_expiry_ms(const struct sched *);
 /* When all that runs there has surely lapsed. */
@@ -179,7 +182,8 @@
 void health_task_failed(
     struct sched_worker *, const struct sched_job *, int64_t now_ms);
 void health_task_placed(struct sched_worker *, int64_t now_ms);
-void health_check_progress(struct sched *, struct sched_worker *, int64_t now_ms);
+void health_check_progress(
+    struct sched *, struct sched_worker *, int64_t now_ms);
 
 void sched_due(struct sched *, int64_t at_ms);
 uint64_t sched_random(struct sched *);
--- a/core/sched_lease.c
+++ b/core/sched_lease.c
@@ -50,8 +50,8 @@
 }
 
 void
-worker_note_answer(struct sched *s, struct sched_worker *worker, int64_t clock_ms,
-    int64_t now_ms)
+worker_note_answer(struct sched *s, struct sched_worker *worker,
+    int64_t clock_ms, int64_t now_ms)
 {
 	if (worker->heard_ms == 0)
 		first_heard(s, worker, clock_ms);
@@ -269,13 +269,15 @@
 
 /* What a next leader needs to know of it. */
 void
-lease_update_record(struct sched *s, struct sched_worker *worker, int64_t now_ms)
+lease_update_record(
+    struct sched *s, struct sched_worker *worker, int64_t now_ms)
 {
 	if (worker->record_wanted == RECORD_NONE)
 		return;
 	if (worker_is_silent(worker, now_ms))
 		count_silent(s, now_ms);
-	if (worker->dead || (worker_is_silent(worker, now_ms) && !s->most_silent))
+	if (worker->dead ||
+	    (worker_is_silent(worker, now_ms) && !s->most_silent))
 		lease_request_record(s, worker, RECORD_EXPIRING);
 	else if (worker->heard_ms != 0 && worker->misses == 0)
 		lease_request_record(s, worker, record_of(worker, now_ms));
--- a/core/sched_place.c
+++ b/core/sched_place.c
@@ -199,8 +199,8 @@
 	if (spec->tail_target_ms > 0)
 		score = suits_serving(worker, task);
 	else
-		score =
-		    (double)(use_idle_cpu(p->s, worker) - spec->size.cpu_millis);
+		score = (double)(use_idle_cpu(p->s, worker) -
+		    spec->size.cpu_millis);
 	if (spec->filler && worker->serving > 0)
 		score -= PRESSURE_COST *
 		    share_added_load(p->s, worker, task->step->image,
@@ -344,7 +344,8 @@
 	s->counts.starts++;
 	health_task_placed(worker, now_ms);
 	if (loss_is_suspect(s, run->task))
-		worker->isolated_until_ms = now_ms + loss_isolation_ms(run->task);
+		worker->isolated_until_ms =
+		    now_ms + loss_isolation_ms(run->task);
 	if (run->task->step->spec->filler)
 		share_update_usage(s, worker, now_ms);
 	s->opt.actions->start(s, run, s->opt.ctx);
@@ -483,7 +484,8 @@
 			sched_due(p->s, task->not_before_ms);
 			continue;
 		}
-		if (loss_awaits_save(task, p->now_ms) || inherit_blocks(p->s, task))
+		if (loss_awaits_save(task, p->now_ms) ||
+		    inherit_blocks(p->s, task))
 			continue;
 		if (p->started >= p->starts_max)
 			return;
--- a/core/sched_run.c
+++ b/core/sched_run.c
@@ -76,7 +76,8 @@
 	if (spec->tail_target_ms > 0) {
 		worker->serving++;
 		worker->serving_cpu += spec->size.cpu_millis;
-		share_count_serving(worker, task->step->image, spec->tail_target_ms, 1);
+		share_count_serving(
+		    worker, task->step->image, spec->tail_target_ms, 1);
 	}
 	TAILQ_INSERT_TAIL(&worker->runs, run, by_worker);
 	TAILQ_INSERT_TAIL(&task->runs, run, by_task);
--- a/core/sched_share.c
+++ b/core/sched_share.c
@@ -93,7 +93,8 @@
 {
 	if (pace == PACE_UNKNOWN)
 		pace = 100;
-	return share_cpu_fraction(s, run->worker, run->task->step->spec) * pace / 100;
+	return share_cpu_fraction(s, run->worker, run->task->step->spec) *
+	    pace / 100;
 }
 
 /* Serving tasks of an image come to the worker (1) or leave it (-1). */
@@ -247,8 +248,9 @@
 		if (run->listed_ms == now_ms && run->percent == 100 &&
 		    now_ms - run->sampled_ms >= SAMPLE_MS) {
 			run->sampled_ms = now_ms;
-			interference_update(s->interference, run->task->step->image,
-			    &run->task->step->load, usages, n, run->measurement,
+			interference_update(s->interference,
+			    run->task->step->image, &run->task->step->load,
+			    usages, n, run->measurement,
 			    (double)run->task->step->spec->tail_target_ms,
 			    now_ms);
 		}
@@ -261,8 +263,8 @@
 static double
 limit_of(const struct sched *s, const struct sched_served *served)
 {
-	return interference_load_limit(
-	    s->interference, served->image, OVER_SHARE * (double)served->target_ms);
+	return interference_load_limit(s->interference, served->image,
+	    OVER_SHARE * (double)served->target_ms);
 }
 
 double
@@ -281,7 +283,9 @@
 		load = served->load > 0 ? served->load : unknown;
 		pressure = (load + RESERVE) *
 		    (1 + served->filler_load +
-			share * interference_effect(s->interference, served->image, image)) /
+			share *
+			    interference_effect(
+				s->interference, served->image, image)) /
 		    limit_of(s, served);
 		if (pressure > highest)
 			highest = pressure;
@@ -290,8 +294,8 @@
 }
 
 double
-share_added_load(const struct sched *s, const struct sched_worker *worker, int image,
-    double share)
+share_added_load(const struct sched *s, const struct sched_worker *worker,
+    int image, double share)
 {
 	const struct sched_served *served;
 	double added;
@@ -357,7 +361,8 @@
 
 	run = paces->runs[i];
 	return share_at(s, run, paces->pace[i]) *
-	    interference_effect(s->interference, served->image, run->task->step->image);
+	    interference_effect(
+		s->interference, served->image, run->task->step->image);
 }
 
 /* What all of them raise its load by, and which of them by most. */
@@ -399,7 +404,8 @@
 		if (filler_load <= allowed || by_most <= 0)
 			return;
 		lower = paces->pace[most] -
-		    (int)ceil((filler_load - allowed) / by_most * paces->pace[most]);
+		    (int)ceil(
+			(filler_load - allowed) / by_most * paces->pace[most]);
 		if (lower < 0)
 			lower = 0;
 		paces->pace[most] = lower / PACE_STEP * PACE_STEP;
@@ -432,8 +438,8 @@
 		run->late_since_ms = 0;
 		run->on_time_ms = run->measurement_ms;
 	} else if (run->late_since_ms == 0)
-		run->late_since_ms =
-		    run->on_time_ms != 0 ? run->on_time_ms : run->measurement_ms;
+		run->late_since_ms = run->on_time_ms != 0 ? run->on_time_ms :
+							    run->measurement_ms;
 }
 
 /* The time since when the latest of the serving tasks is over; 0: none. */
@@ -470,8 +476,8 @@
 	TAILQ_FOREACH (run, &worker->runs, by_worker) {
 		if (!is_serving(run) || run->late_since_ms == 0)
 			continue;
-		effect = interference_effect(s->interference, run->task->step->image,
-		    filler->task->step->image);
+		effect = interference_effect(s->interference,
+		    run->task->step->image, filler->task->step->image);
 		if (effect > highest)
 			highest = effect;
 	}
--- a/core/sched_worker.c
+++ b/core/sched_worker.c
@@ -217,7 +217,8 @@
 
 /* That life of the worker is over, and so is all that ran there. */
 void
-worker_incarnation_ended(struct sched *s, struct sched_worker *worker, int64_t now_ms)
+worker_incarnation_ended(
+    struct sched *s, struct sched_worker *worker, int64_t now_ms)
 {
 	worker->dead = true;
 	worker_drop_strays(worker);
@@ -350,8 +351,8 @@
 static bool
 may_be_forgotten(const struct sched_worker *worker, int64_t now_ms)
 {
-	if (worker->listed || worker->poll_pending || !TAILQ_EMPTY(&worker->runs) ||
-	    !STAILQ_EMPTY(&worker->ends))
+	if (worker->listed || worker->poll_pending ||
+	    !TAILQ_EMPTY(&worker->runs) || !STAILQ_EMPTY(&worker->ends))
 		return false;
 	return worker->dead || worker->lapsed ||
 	    (worker_is_silent(worker, now_ms) && worker_is_empty(worker)) ||
--- a/core/scheduler.h
+++ b/core/scheduler.h
@@ -10,7 +10,7 @@
 
 #include "blame.h"
 #include "graph.h"
-#include "press.h"
+#include "interference.h"
 #include "room.h"
 
 /*
@@ -123,7 +123,8 @@
 	struct task_loss *losses;
 	int64_t losses_ms; /* their run times */
 	uint64_t losses_change; /* of its job, with which they are saved */
-	int64_t survived_ms; /* those of other runs that are over, in this term */
+	int64_t
+	    survived_ms; /* those of other runs that are over, in this term */
 	uint32_t attempt; /* the highest used in this term */
 	uint32_t avoid; /* serial of the worker where it last failed */
 	uint32_t moves; /* off workers where it stood still, in this term */
@@ -481,7 +482,8 @@
 	bool place_wanted;
 	int64_t place_ms; /* not again before, unless wanted */
 	int64_t place_min_ms; /* not again before in any case */
-	int64_t drain_pass_ms; /* nothing is moved off workers that leave before */
+	int64_t
+	    drain_pass_ms; /* nothing is moved off workers that leave before */
 	bool deposed;
 	/* Of workers that earlier leaders used and that haven't answered: */
 	uint64_t unsettled; /* which they are: a sum of hashes; 0: none */
@@ -497,7 +499,8 @@
 	double serving_use; /* learnt: share of its claim a serving task uses */
 	double batch_use; /* the same of all others */
 	struct blame_rate crash_rate; /* of workers */
-	LIST_HEAD(, sched_lost_incarnation) lost_incarnations; /* of which it isn't sure */
+	LIST_HEAD(, sched_lost_incarnation)
+	lost_incarnations; /* of which it isn't sure */
 	int64_t use_decayed_ms; /* when serving_use last fell by itself */
 	struct sched_counts counts;
 };
--- a/core/shard.h
+++ b/core/shard.h
@@ -34,8 +34,9 @@
 };
 
 enum shard_verdict {
-	SHARD_NO_TAKEOVER, /* its owner may well live, or we ought not to have it
-			 */
+	SHARD_NO_TAKEOVER, /* its owner may well live, or we ought not to have
+			    * it
+			    */
 	SHARD_TAKE_UNOWNED, /* nobody owns it */
 	SHARD_TAKE_BACK, /* we owned it before a restart or a conflict */
 	SHARD_TAKE_LEFT,
--- a/entry/lead.c
+++ b/entry/lead.c
@@ -107,8 +107,8 @@
 		serving = json_string_value(json_array_get(row, 0));
 		filler = json_string_value(json_array_get(row, 1));
 		if (serving != NULL && filler != NULL)
-			interference_set_effect(l->sched->interference, serving, filler,
-			    json_number_value(json_array_get(row, 2)));
+			interference_set_effect(l->sched->interference, serving,
+			    filler, json_number_value(json_array_get(row, 2)));
 	}
 }
 
@@ -132,8 +132,9 @@
 	json_t *pairs;
 	char *text;
 
-	every_ms = pacer_available(&l->node->link, now_ms) < 0 ? LEARNT_FULL_MS :
-							    LEARNT_EVERY_MS;
+	every_ms = pacer_available(&l->node->link, now_ms) < 0 ?
+	    LEARNT_FULL_MS :
+	    LEARNT_EVERY_MS;
 	if (l->learnt_text != NULL && now_ms - l->learnt_ms < every_ms)
 		return NULL;
 	pairs = lead_learnt(l);
--- a/entry/lead_calls.c
+++ b/entry/lead_calls.c
@@ -232,7 +232,8 @@
 
 	l = ctx;
 	if ((worker = sched_worker_find(l->sched, id)) != NULL)
-		sched_late_ends_reported(l->sched, worker, look, clock_now_ms());
+		sched_late_ends_reported(
+		    l->sched, worker, look, clock_now_ms());
 }
 
 static void
--- a/entry/lead_save.c
+++ b/entry/lead_save.c
@@ -357,7 +357,7 @@
 	if (l->save_soon)
 		return GATHER_ENDED_MS;
 	return pacer_available(&l->node->link, now_ms) < 0 ? GATHER_FULL_MS :
-							GATHER_MS;
+							     GATHER_MS;
 }
 
 static void
--- a/lagoonpind/batch.c
+++ b/lagoonpind/batch.c
@@ -217,7 +217,8 @@
 	if (s->ledger == NULL)
 		return;
 	e = s->batch->entry;
-	ledger_set_store_available(s->ledger, store_reachable(e->store, now_ms));
+	ledger_set_store_available(
+	    s->ledger, store_reachable(e->store, now_ms));
 	if (!s->lost)
 		ledger_step(s->ledger, now_ms);
 	if (!s->told && s->ledger->phase == LEDGER_OWNED)
--- a/lagoonpind/borrow.c
+++ b/lagoonpind/borrow.c
@@ -116,7 +116,8 @@
 		    strcmp(member->record.data_center, e->opt.data_center) == 0;
 		offer = offer_of(member, want, now_ms);
 		if (offer < offers[near] || offer == 0 ||
-		    member_evaluate(mesh_members(e), member->record.id, 0, now_ms)
+		    member_evaluate(
+			mesh_members(e), member->record.id, 0, now_ms)
 			    .state != MEMBER_ALIVE)
 			continue;
 		equals[near] = offer == offers[near] ? equals[near] + 1 : 1;
--- a/lagoonpind/call_admit.c
+++ b/lagoonpind/call_admit.c
@@ -16,8 +16,8 @@
 	struct cached_response kept;
 
 	if (c->idempotent ||
-	    response_cache_get(c->callers->responses, c->id, c->hash, c->arrived_ms,
-		&kept) != 0)
+	    response_cache_get(c->callers->responses, c->id, c->hash,
+		c->arrived_ms, &kept) != 0)
 		return false;
 	call_answer(c, &kept, OUTCOME_KEPT_ANSWER);
 	return true;
--- a/lagoonpind/call_claim.c
+++ b/lagoonpind/call_claim.c
@@ -176,8 +176,8 @@
 	call->waiting = NULL;
 	/* The answer to the one that holds the claim may be here by now. */
 	if (why == CLAIM_REFUSED_DUPLICATE &&
-	    response_cache_get(cs->responses, call->id, call->hash, clock_now_ms(),
-		&kept) == 0) {
+	    response_cache_get(cs->responses, call->id, call->hash,
+		clock_now_ms(), &kept) == 0) {
 		admit_cancel(&call->item);
 		call_answer(call, &kept, OUTCOME_KEPT_ANSWER);
 		return;
--- a/lagoonpind/call_collect.c
+++ b/lagoonpind/call_collect.c
@@ -172,7 +172,8 @@
 {
 	if (c->idempotent)
 		return;
-	response_cache_put(c->callers->responses, c->id, c->hash, answer, clock_now_ms());
+	response_cache_put(
+	    c->callers->responses, c->id, c->hash, answer, clock_now_ms());
 }
 
 static struct cached_response
--- a/lagoonpind/call_credit.c
+++ b/lagoonpind/call_credit.c
@@ -236,7 +236,7 @@
 		lend_release(cs->entry, ep->id, a->epoch,
 		    credit_kind_of(a->lane),
 		    how == OUTCOME_ATTEMPT_UNKNOWN ? CREDIT_ABANDONED :
-						      CREDIT_ENDED);
+						     CREDIT_ENDED);
 	endpoint_refresh(ep, clock_now_ms());
 	if (ep->state == VM_GONE && LIST_EMPTY(&ep->attempts) && !ep->pinned)
 		endpoint_free(ep);
--- a/lagoonpind/callers.h
+++ b/lagoonpind/callers.h
@@ -13,11 +13,11 @@
 #include "claim.h"
 #include "credit.h"
 #include "fleet.h"
-#include "kept.h"
+#include "response_cache.h"
 #include "lagoonpind.h"
 #include "outcome.h"
 #include "quota.h"
-#include "recent.h"
+#include "recent_ids.h"
 
 /*
  * The callers' side.  A call passes through the filters read, admit, choose,
--- a/lagoonpind/claim_answer.c
+++ b/lagoonpind/claim_answer.c
@@ -192,8 +192,9 @@
 		return;
 	}
 	if (op->kind != OP_SETTLE) {
-		claim_tell(
-		    op, applied ? CLAIM_STORE_NO_ANSWER : CLAIM_STORE_UNAVAILABLE, NULL);
+		claim_tell(op,
+		    applied ? CLAIM_STORE_NO_ANSWER : CLAIM_STORE_UNAVAILABLE,
+		    NULL);
 		return;
 	}
 	if (error == STORE_ERR_CANCELLED || ++op->tries >= SETTLE_TRIES) {
--- a/lagoonpind/entries.c
+++ b/lagoonpind/entries.c
@@ -67,7 +67,8 @@
 	struct member_verdict verdict;
 	json_t *object;
 
-	verdict = member_evaluate(mesh_members(e), member->record.id, 0, now_ms);
+	verdict =
+	    member_evaluate(mesh_members(e), member->record.id, 0, now_ms);
 	object = describe(&member->record, member->listen, verdict.silent_ms);
 	json_object_set_new(
 	    object, "state", json_string(state_name(verdict.state)));
--- a/lagoonpind/lend.c
+++ b/lagoonpind/lend.c
@@ -225,8 +225,9 @@
 	struct entry *e = ctx;
 	enum member_state state;
 
-	state = member_evaluate(mesh_members(e), peer, incarnation, clock_now_ms())
-		    .state;
+	state =
+	    member_evaluate(mesh_members(e), peer, incarnation, clock_now_ms())
+		.state;
 	return state == MEMBER_DEAD || state == MEMBER_LEFT;
 }
 
--- a/lagoonpind/owners.c
+++ b/lagoonpind/owners.c
@@ -144,9 +144,9 @@
 	if (wire_decode_transfers(payload, len, &in) != WIRE_OK)
 		return;
 	for (i = 0; i < in.count; i++)
-		credit_set_holding(e->lend->book, header->from, in.items[i].shard,
-		    in.items[i].epoch, in.items[i].amount.slots,
-		    clock_now_ms());
+		credit_set_holding(e->lend->book, header->from,
+		    in.items[i].shard, in.items[i].epoch,
+		    in.items[i].amount.slots, clock_now_ms());
 }
 
 /* One message for each row: rows that lie idle are few at any one time. */
--- a/lagoonreplay/baseline.c
+++ b/lagoonreplay/baseline.c
@@ -152,7 +152,8 @@
     struct world *w, struct vm *vm, double p99_ms, int64_t measured_ms)
 {
 	if (p99_ms <= vm->service.target_p99_ms ||
-	    (vm->service.last_action_ms != 0 && measured_ms < vm->service.last_action_ms))
+	    (vm->service.last_action_ms != 0 &&
+		measured_ms < vm->service.last_action_ms))
 		return;
 	evict_largest(w, vm);
 }
--- a/tests/sched_fixture.h
+++ b/tests/sched_fixture.h
@@ -481,8 +481,8 @@
 			return;
 		if (m.gone || !m.reachable) {
 			sched_poll_answered(s, w,
-			    m.gone ? ANSWER_OTHER_INCARNATION : ANSWER_LOST, nullptr,
-			    now);
+			    m.gone ? ANSWER_OTHER_INCARNATION : ANSWER_LOST,
+			    nullptr, now);
 			return;
 		}
 		for (auto &r : m.running)
--- a/tests/test_carrywire.cc
+++ b/tests/test_carrywire.cc
@@ -98,7 +98,8 @@
 	}
 
 	static struct poll_running
-	Row(uint32_t index, const char *checkpoint, int percent, int measurement)
+	Row(uint32_t index, const char *checkpoint, int percent,
+	    int measurement)
 	{
 		struct poll_running row;
 
--- a/tests/test_credit_model.cc
+++ b/tests/test_credit_model.cc
@@ -144,8 +144,8 @@
 	Release(const Call &c, enum credit_end end)
 	{
 		if (c.incarnation == incarnations[c.entry] && !c.given_up)
-			credit_release(books[c.entry], kWorker, c.epoch,
-			    CREDIT_CALL, end);
+			credit_release(
+			    books[c.entry], kWorker, c.epoch, CREDIT_CALL, end);
 	}
 	void Arrive(int i);
 	void Give(int from, int to);
@@ -388,7 +388,8 @@
 			continue;
 		add(r->epoch), add(r->issued), add(r->fenced),
 		    add(r->spare.slots);
-		add(r->busy.slots), add(r->older.slots), add(r->used_at_fence.slots);
+		add(r->busy.slots), add(r->older.slots),
+		    add(r->used_at_fence.slots);
 	}
 	add(endpoint), add(epoch), add(owner), add(repeats), add(restarts);
 	return s;
--- a/tests/test_health.cc
+++ b/tests/test_health.cc
@@ -132,7 +132,8 @@
 	};
 	health_job j = {};
 	for (auto &row : rows)
-		EXPECT_EQ(health_evaluate(&o, &j, &row.size, &largest), row.want);
+		EXPECT_EQ(
+		    health_evaluate(&o, &j, &row.size, &largest), row.want);
 }
 
 TEST_F(Health, ASuspectProbeSaysNothingAndTheNextWaits)
--- a/tests/test_press.cc
+++ b/tests/test_interference.cc
@@ -5,7 +5,7 @@
 #include <gtest/gtest.h>
 
 extern "C" {
-#include "press.h"
+#include "interference.h"
 }
 
 namespace {
@@ -67,9 +67,9 @@
 				{ good, w.good } };
 			double load = std::min(0.97, w.Strained(now_ms));
 
-			interference_update(interference, web, &w.load, usages, 2,
-			    kShortestMs / (1 - load) * rough(random), kTargetMs,
-			    now_ms);
+			interference_update(interference, web, &w.load, usages,
+			    2, kShortestMs / (1 - load) * rough(random),
+			    kTargetMs, now_ms);
 			if (any(random) > 0.3)
 				continue;
 			w.bad = any(random) < share_bad ? 0.15 : 0;
@@ -151,8 +151,8 @@
 	for (int i = 0; i < 20; i++) {
 		world.Step(0.3, 0.5);
 		for (auto &w : world.workers) {
-			sum += std::abs(
-			    load_estimate_value(&w.load) - w.True(world.now_ms));
+			sum += std::abs(load_estimate_value(&w.load) -
+			    w.True(world.now_ms));
 			n++;
 		}
 	}
@@ -167,7 +167,8 @@
 {
 	struct interference *p = interference_new();
 	struct load_estimate load = {};
-	int web = interference_image(p, "web"), bad = interference_image(p, "bad");
+	int web = interference_image(p, "web"),
+	    bad = interference_image(p, "bad");
 	int good = interference_image(p, "good");
 	std::mt19937 random(3);
 	std::normal_distribution<> rough(1, 0.05);
@@ -209,7 +210,8 @@
 		interference_update(p, web, &load, nullptr, 0,
 		    i % 60 == 0 ? 5 : 13 + i % 20, kTargetMs, 1000 + 40 * i);
 	// A load of 0.2 is taken for the least: 0.8 of 13 ms is no load.
-	EXPECT_NEAR(interference_load_limit(p, web, kTargetMs), 1 - 0.8 * 13 / 50, 0.04);
+	EXPECT_NEAR(interference_load_limit(p, web, kTargetMs),
+	    1 - 0.8 * 13 / 50, 0.04);
 	interference_free(p);
 }
 
@@ -220,7 +222,9 @@
 
 	EXPECT_DOUBLE_EQ(world.Bad(), 1);
 	EXPECT_GT(load_estimate_value(&none), 0.3);
-	EXPECT_DOUBLE_EQ(interference_load_limit(world.interference, world.web, kTargetMs), 0.8);
+	EXPECT_DOUBLE_EQ(
+	    interference_load_limit(world.interference, world.web, kTargetMs),
+	    0.8);
 }
 
 TEST(Press, ImagesRunOut)
@@ -252,8 +256,9 @@
 	    world.interference,
 	    [](const char *serving, const char *filler, double effect,
 		void *ctx) {
-		    interference_set_effect(static_cast<struct interference *>(ctx), serving, filler,
-			effect);
+		    interference_set_effect(
+			static_cast<struct interference *>(ctx), serving,
+			filler, effect);
 	    },
 	    next.interference);
 	EXPECT_DOUBLE_EQ(next.Bad(), world.Bad());
--- a/tests/test_lending.cc
+++ b/tests/test_lending.cc
@@ -92,7 +92,8 @@
 	EXPECT_TRUE(lending_worthwhile(1, 0));
 	EXPECT_FALSE(lending_worthwhile(0, 0));
 	EXPECT_EQ(0, lending_estimate({ 60, 60 }, 10, { 20, 20 }));
-	EXPECT_EQ(2, lending_estimate({ 60, 60 }, 1000, { 20, 20 })); // old news
+	EXPECT_EQ(
+	    2, lending_estimate({ 60, 60 }, 1000, { 20, 20 })); // old news
 	EXPECT_EQ(0, lending_estimate({ 0, 0 }, 1000, { 20, 20 }));
 	EXPECT_EQ(20, lending_estimate({ 60, 20 }, 1000, { 20, 20 }));
 }
--- a/tests/test_member.cc
+++ b/tests/test_member.cc
@@ -115,7 +115,8 @@
 	Verdict(const std::string &by, const std::string &of,
 	    uint64_t incarnation = 0)
 	{
-		return member_evaluate(nodes[by]->m, of.c_str(), incarnation, now)
+		return member_evaluate(
+		    nodes[by]->m, of.c_str(), incarnation, now)
 		    .state;
 	}
 	void
--- a/tests/test_outbox.cc
+++ b/tests/test_outbox.cc
@@ -108,7 +108,8 @@
 		}
 		looks_due_ += kLooksPerSecond / 1000.0;
 		waiting_ += starts_per_s_ / 1000;
-		uint32_t allowed = outbox_start_budget(&outbox_, Gathered(), now_);
+		uint32_t allowed =
+		    outbox_start_budget(&outbox_, Gathered(), now_);
 		for (; looks_due_ >= 1; looks_due_--)
 			Order(kLookBytes);
 		for (; waiting_ >= 1 && allowed > 0; allowed--, waiting_--) {
--- a/tests/test_pacer.cc
+++ b/tests/test_pacer.cc
@@ -21,7 +21,8 @@
 		pacer_init(&p, kRate, 100, 0);
 		for (int64_t now_ms = 0; now_ms < 10000; now_ms++) {
 			offered += load * kRate / 1000;
-			while (offered >= 250 && pacer_available(&p, now_ms) > 0) {
+			while (
+			    offered >= 250 && pacer_available(&p, now_ms) > 0) {
 				pacer_consume(&p, 250, now_ms);
 				offered -= 250;
 				sent += 250;
--- a/tests/test_recent.cc
+++ b/tests/test_recent_ids.cc
@@ -3,7 +3,7 @@
 #include <string>
 
 extern "C" {
-#include "recent.h"
+#include "recent_ids.h"
 }
 
 namespace {
--- a/tests/test_kept.cc
+++ b/tests/test_response_cache.cc
@@ -3,7 +3,7 @@
 #include <string>
 
 extern "C" {
-#include "kept.h"
+#include "response_cache.h"
 }
 
 namespace {
@@ -22,7 +22,8 @@
 	put(const char *id, uint64_t hash, const std::string &body,
 	    int64_t now_ms)
 	{
-		cached_response a = { 200, "text/plain", body.data(), body.size() };
+		cached_response a = { 200, "text/plain", body.data(),
+			body.size() };
 		response_cache_put(k, id, hash, &a, now_ms);
 	}
 
@@ -67,7 +68,9 @@
 		{ "a", "t", "s", "c", 1 }, { "a", "u", "s", "b", 1 } };
 	for (auto &x : keys)
 		for (auto &y : keys)
-			EXPECT_EQ(response_cache_hash(&x) == response_cache_hash(&y), &x == &y);
+			EXPECT_EQ(
+			    response_cache_hash(&x) == response_cache_hash(&y),
+			    &x == &y);
 }
 
 } // namespace
--- a/tests/test_sched_share.cc
+++ b/tests/test_sched_share.cc
@@ -134,8 +134,8 @@
 		for (auto &[key, r] : running) {
 			if (r.filler)
 				continue;
-			double load =
-			    std::min(0.97, Load(r) * (1 + filler_load[r.worker]));
+			double load = std::min(
+			    0.97, Load(r) * (1 + filler_load[r.worker]));
 			double tail = kShortestMs / (1 - load);
 			r.tail = r.tail == 0 ? tail : 0.9 * r.tail + 0.1 * tail;
 			r.late_ms = tail > kTargetMs ? r.late_ms + 50 : 0;
@@ -164,12 +164,13 @@
 				it = running.erase(it);
 				continue;
 			}
-			int measurement = r.filler ? (int)(r.cpu * r.pace / 100) :
-						(int)r.tail;
+			int measurement = r.filler ?
+			    (int)(r.cpu * r.pace / 100) :
+			    (int)r.tail;
 			int percent =
 			    r.filler ? (int)(100 - r.work_ms / 25) : 100;
-			rows.push_back(
-			    { r.task, it->first.attempt, "", percent, measurement });
+			rows.push_back({ r.task, it->first.attempt, "", percent,
+			    measurement });
 			++it;
 		}
 		struct poll_result result = { now, rows.data(), rows.size(),
