--- a/core/elect.c
+++ b/core/elect.c
@@ -3,24 +3,24 @@
 #include "elect.h"
 
 /*
- * Beats come every 150 ms: four lost in a row aren't chance.  A takeover
- * then takes place within a second of the leader's death.
+ * Heartbeats come every 150 ms, and losing four in a row is unlikely on a
+ * working link.  The takeover completes within a second of a leader's death.
  */
 #define SILENCE_MS 600
-/* Each next member waits longer, so that one of them tries at a time. */
+/* Delay by rank, so that members don't try to take over at the same time. */
 #define RANK_STEP_MS 120
 #define RANKS_MAX 5
-/* A member that has heard nothing for so long agrees to a takeover. */
-#define AGREE_MS 350
-/* Answers of the members are waited for so long. */
-#define ASK_MS 120
-/* After members denied, or a failed read or take. */
+/* Silence of the leader after which a member grants its vote. */
+#define GRANT_MS 350
+/* Time to wait for votes. */
+#define VOTE_MS 120
+/* Delay after a lost vote or a failed read or write. */
 #define RETRY_MS 250
-/* The pulse rises every 500 ms: standing still for so long it is over. */
+/* The leader writes its heartbeat key every 500 ms. */
 #define STALE_MS 1600
-/* A leader without the store may get it back in so long. */
+/* Time for a leader that lost the store to reconnect. */
 #define NO_STORE_MS 300
-/* A new leader has so long to make itself heard. */
+/* Time for a new leader to send its first heartbeat. */
 #define GRACE_MS 500
 
 static void
@@ -39,12 +39,12 @@
 	e->opt = *options;
 	e->role = ELECT_FOLLOWER;
 	e->leader_has_store = true;
-	/* Nothing is known: read the record at once. */
+	/* The leader is unknown; start a vote at the first tick. */
 	e->heard_ms = now_ms - SILENCE_MS;
 }
 
 static int64_t
-patience(const struct elect *e)
+rank_delay_ms(const struct elect *e)
 {
 	uint32_t rank;
 
@@ -59,32 +59,33 @@
 }
 
 /*
- * The leader is silent, or has lost the store though we have had it for a
- * while.  After an outage that hit all of us it gets the store back when we do.
- * Without the wait all that ask would take its term in that moment, and the
- * first to write would lead, however weak.
+ * The leader is suspected when its heartbeats stop, or when it has no store
+ * while this entry has had access for some time.  After an outage of the whole
+ * store the leader regains access at about the same time as this entry.
+ * Without the delay all members would try to take over at that moment, and the
+ * first write would win, however weak its entry.
  */
 static bool
-suspects(const struct elect *e, int64_t now_ms)
+leader_suspected(const struct elect *e, int64_t now_ms)
 {
 	int64_t since_ms;
 
-	if (now_ms - e->heard_ms >= SILENCE_MS + patience(e))
+	if (now_ms - e->heard_ms >= SILENCE_MS + rank_delay_ms(e))
 		return true;
 	since_ms =
 	    later(e->no_store_ms, later(e->store_failed_ms, e->store_back_ms));
 	return !e->leader_has_store &&
-	    now_ms - since_ms >= NO_STORE_MS + patience(e);
+	    now_ms - since_ms >= NO_STORE_MS + rank_delay_ms(e);
 }
 
 static void
-start_asking(struct elect *e, int64_t now_ms)
+start_vote(struct elect *e, int64_t now_ms)
 {
 	e->grants = 0;
 	e->denials = 0;
 	e->vote_resigned = false;
 	e->read_done = false;
-	e->asked_ms = now_ms;
+	e->vote_start_ms = now_ms;
 	change_role(e, ELECT_PRECANDIDATE);
 	e->opt.actions->request_votes(e, e->opt.ctx);
 	if (!e->reading) {
@@ -94,11 +95,11 @@
 }
 
 static bool
-may_take(const struct elect *e, int64_t now_ms)
+may_claim(const struct elect *e, int64_t now_ms)
 {
 	if (e->leader.id[0] == '\0' || e->vote_resigned || e->leader_resigned)
 		return true;
-	/* Our former life led; it is over. */
+	/* The leader is a previous incarnation of this entry. */
 	if (strcmp(e->leader.id, e->opt.self) == 0)
 		return true;
 	if (e->members > 0 && 2 * e->grants >= e->members)
@@ -107,25 +108,25 @@
 }
 
 static void
-give_up_asking(struct elect *e, int64_t now_ms)
+abandon_vote(struct elect *e, int64_t now_ms)
 {
 	e->retry_ms = now_ms + RETRY_MS;
 	change_role(e, ELECT_FOLLOWER);
 }
 
 static void
-decide(struct elect *e, int64_t now_ms)
+decide_vote(struct elect *e, int64_t now_ms)
 {
 	if (!e->read_done) {
 		if (!e->reading)
-			give_up_asking(e, now_ms);
+			abandon_vote(e, now_ms);
 		return;
 	}
-	if (!may_take(e, now_ms)) {
-		give_up_asking(e, now_ms);
+	if (!may_claim(e, now_ms)) {
+		abandon_vote(e, now_ms);
 		return;
 	}
-	e->taking_ms = now_ms;
+	e->claim_ms = now_ms;
 	change_role(e, ELECT_CANDIDATE);
 	e->opt.actions->write_record(
 	    e, e->leader.term + 1, e->leader.revision, e->opt.ctx);
@@ -136,15 +137,15 @@
 {
 	switch (e->role) {
 	case ELECT_FOLLOWER:
-		if (now_ms >= e->retry_ms && suspects(e, now_ms))
-			start_asking(e, now_ms);
+		if (now_ms >= e->retry_ms && leader_suspected(e, now_ms))
+			start_vote(e, now_ms);
 		break;
 	case ELECT_PRECANDIDATE:
-		if (!suspects(e, now_ms))
+		if (!leader_suspected(e, now_ms))
 			change_role(e, ELECT_FOLLOWER);
-		else if (now_ms - e->asked_ms >= ASK_MS ||
-		    (e->read_done && may_take(e, now_ms)))
-			decide(e, now_ms);
+		else if (now_ms - e->vote_start_ms >= VOTE_MS ||
+		    (e->read_done && may_claim(e, now_ms)))
+			decide_vote(e, now_ms);
 		break;
 	case ELECT_CANDIDATE:
 	case ELECT_LEADER:
@@ -152,9 +153,10 @@
 	}
 }
 
-/* A leader that we didn't know. */
+/* Follow a leader of a later term. */
 static void
-adopt(struct elect *e, const struct elect_leader *leader, int64_t now_ms)
+follow_leader(
+    struct elect *e, const struct elect_leader *leader, int64_t now_ms)
 {
 	e->leader = *leader;
 	e->leader_resigned = false;
@@ -171,7 +173,7 @@
 	if (leader->term < e->leader.term)
 		return false;
 	if (leader->term > e->leader.term)
-		adopt(e, leader, now_ms);
+		follow_leader(e, leader, now_ms);
 	if (e->role == ELECT_LEADER)
 		return false;
 	e->heard_ms = now_ms;
@@ -191,7 +193,7 @@
 	if (term > e->leader.term)
 		return true;
 	return e->leader_resigned || !e->leader_has_store ||
-	    now_ms - e->heard_ms >= AGREE_MS;
+	    now_ms - e->heard_ms >= GRANT_MS;
 }
 
 void
@@ -230,7 +232,7 @@
 	e->reading = false;
 	if (record == NULL) {
 		elect_store_failed(e, now_ms);
-		/* An unknown take stays open until the record is read. */
+		/* The outcome of a write is unknown until a read succeeds. */
 		if (e->role == ELECT_CANDIDATE)
 			e->retry_ms = now_ms + RETRY_MS;
 		return;
@@ -258,8 +260,8 @@
 		elect_step_down(e, now_ms);
 		return;
 	}
-	adopt(e, &record->leader, now_ms);
-	/* No need to wait for one that can't be heard of any more. */
+	follow_leader(e, &record->leader, now_ms);
+	/* A previous incarnation of this entry sends no heartbeats. */
 	if (strcmp(record->leader.id, e->opt.self) == 0)
 		e->heard_ms = now_ms - SILENCE_MS;
 }
--- a/core/fleet.c
+++ b/core/fleet.c
@@ -88,9 +88,9 @@
 		if (v->missing_since_ms == 0)
 			v->missing_since_ms = now_ms;
 		/*
-		 * A lagging list may miss a live VM once.  Taking that for its
-		 * end would let its tasks start elsewhere while they still
-		 * run; a VM absent this long has been ended by the platform.
+		 * A lagging list may omit a live VM once.  Treating it as gone
+		 * would let its tasks start elsewhere while they still run.  A
+		 * VM absent for gone_after_ms was terminated by the platform.
 		 */
 		if (now_ms - v->missing_since_ms >= f->opt.gone_after_ms)
 			vm_set_state(f, v, VM_GONE, now_ms);
@@ -149,7 +149,7 @@
 	old = v->info;
 	v->info = *info;
 	v->info.state = old.state;
-	/* A worker doesn't change its rack; its id would be another. */
+	/* The rack of a worker is fixed; in another rack it has another id. */
 	memcpy(v->info.data_center, old.data_center, sizeof(old.data_center));
 	memcpy(v->info.rack, old.rack, sizeof(old.rack));
 	vm_set_state(f, v, info->state, now_ms);
--- a/core/fleet.h
+++ b/core/fleet.h
@@ -9,9 +9,9 @@
 #include <stdint.h>
 
 /*
- * The VMs as the platform's list tells them.  The list lags and may miss a VM
- * once, so a VM that is only absent counts as gone after gone_after_ms of
- * absence; one that the list itself calls gone is gone at once.
+ * The VMs according to the platform's list.  The list lags and may omit a live
+ * VM once, so an absent VM counts as gone only after gone_after_ms of absence;
+ * one that is listed as gone is gone at once.
  */
 
 #define FLEET_ID_MAX 64
@@ -21,7 +21,7 @@
 enum vm_kind { VM_WORKER, VM_ENTRY };
 enum vm_state { VM_LIVE, VM_LEAVING, VM_GONE };
 
-/* One VM as listed. */
+/* A VM as listed. */
 struct vm_info {
 	char id[FLEET_ID_MAX];
 	enum vm_kind kind;
@@ -44,12 +44,12 @@
 
 struct vm {
 	RB_ENTRY(vm) by_id;
-	TAILQ_ENTRY(vm) link; /* of all VMs */
-	TAILQ_ENTRY(vm) shard_link; /* of the shard's workers */
+	TAILQ_ENTRY(vm) link; /* in the list of all VMs */
+	TAILQ_ENTRY(vm) shard_link; /* in the list of its shard's workers */
 	struct vm_info info;
 	struct fleet_shard *shard; /* NULL for entries */
 	int64_t missing_since_ms; /* 0: listed */
-	int64_t gone_ms; /* when it was found gone; 0: it isn't */
+	int64_t gone_ms; /* when its state became VM_GONE; 0: not gone */
 	bool listed; /* in the list being applied */
 };
 TAILQ_HEAD(vm_list, vm);
@@ -59,14 +59,14 @@
 	TAILQ_ENTRY(fleet_shard) link;
 	char name[2 * FLEET_ID_MAX + 1]; /* DATA_CENTER "." RACK */
 	struct vm_list workers;
-	size_t nworkers; /* those not gone */
-	void *data; /* for the batch side */
+	size_t nworkers; /* not gone */
+	void *data; /* of the batch scheduler */
 };
 TAILQ_HEAD(fleet_shards, fleet_shard);
 
 enum fleet_change { FLEET_ADDED, FLEET_STATE, FLEET_ADDRESS };
 
-/* A VM is new, changed its state, or its address or capacity. */
+/* Called when a VM is new, or its state, address or capacity changed. */
 typedef void fleet_changed(struct vm *, enum fleet_change, void *ctx);
 
 struct fleet_options {
@@ -81,11 +81,14 @@
 struct fleet *fleet_open(const struct fleet_options *);
 void fleet_close(struct fleet *);
 
-/* Apply one whole list.  -1: no memory, part of it may be applied. */
+/*
+ * Apply a complete list.  Returns 0, or -1 if there is no memory; part of the
+ * list may then be applied.
+ */
 int fleet_apply(
     struct fleet *, const struct vm_info *, size_t n, int64_t now_ms);
 
-/* When the list was last applied; -1: never. */
+/* Time since a list was last applied; -1: never. */
 int64_t fleet_age_ms(const struct fleet *, int64_t now_ms);
 
 /* NULL: not known. */
--- a/core/gossip.c
+++ b/core/gossip.c
@@ -5,30 +5,31 @@
 #include "member.h"
 #include "member_int.h"
 
-#define NEAR_TRIES 8 /* random picks to find one in the own data centre */
-#define REVIVE_EVERY 8 /* heartbeats between messages to a silent member */
-#define SILENT_CHOICE 8 /* silent members that it is chosen from */
-#define ASKS_MAX 4 /* members asked directly in one heartbeat */
-#define DETAILS_MAX 4 /* records with details in one message */
+#define LOCAL_TRIES 8 /* random picks to find a suitable member */
+#define SILENT_INTERVAL 8 /* heartbeats between probes of silent members */
+#define SILENT_CANDIDATES 8 /* silent members that it is picked from */
+#define PROBES_MAX 4 /* probes of suspected members per heartbeat */
+#define DETAILS_MAX 4 /* records of others with details per message */
 
-static void note_pause(struct members *, int64_t);
-static void forget_silent(struct members *, int64_t);
-static struct member *pick(struct members *, bool);
-static struct member *pick_silent(struct members *, int64_t);
-static void put_record(
+static void check_pause(struct members *, int64_t);
+static void drop_silent(struct members *, int64_t);
+static struct member *pick_member(struct members *, bool);
+static struct member *pick_silent_member(struct members *, int64_t);
+static void add_record(
     struct member_digest *, const struct member_record *, bool);
 static bool in_digest(const struct member_digest *, const char *);
-static void fill_members(struct members *, struct member_digest *, int64_t);
-static void fill_shards(struct members *, struct member_digest *);
-static void ask_accused(struct members *, int64_t);
+static void add_members(struct members *, struct member_digest *, int64_t);
+static void add_shards(struct members *, struct member_digest *);
+static void probe_suspects(struct members *, int64_t);
 
 /*
- * After a pause everybody looks silent, since nothing was read meanwhile.
- * Judged at once, all peers would be dead and their shards taken over.  So
- * every silence starts anew, and this entry doesn't act before it has news.
+ * After a pause of this entry all members look silent, since nothing was
+ * received meanwhile, and it would take all of them for dead and take over
+ * their shards.  So the silence of every member is measured anew from now on,
+ * and this entry may not act until it has news.
  */
 static void
-note_pause(struct members *m, int64_t now_ms)
+check_pause(struct members *m, int64_t now_ms)
 {
 	struct member *member;
 	int64_t gap_ms;
@@ -45,24 +46,24 @@
 		m->options.on_paused(gap_ms, m->options.ctx);
 }
 
-/* Silent longest are last, so this looks only at the silent ones. */
+/* The queue is ordered by last news, so only the silent ones are visited. */
 static void
-forget_silent(struct members *m, int64_t now_ms)
+drop_silent(struct members *m, int64_t now_ms)
 {
-	struct member *member, *fresher;
+	struct member *member, *newer;
 
 	member = TAILQ_LAST(&m->heard, member_queue);
 	while (member != NULL &&
 	    now_ms - member->heard_ms >= m->options.forget_ms) {
-		fresher = TAILQ_PREV(member, member_queue, heard);
+		newer = TAILQ_PREV(member, member_queue, heard);
 		if (!member->registered)
 			member_drop(m, member);
-		member = fresher;
+		member = newer;
 	}
 }
 
 static struct member *
-pick(struct members *m, bool near)
+pick_member(struct members *m, bool local)
 {
 	struct member *member;
 	int tries;
@@ -70,12 +71,12 @@
 	if (m->count == 0)
 		return NULL;
 	member = NULL;
-	for (tries = 0; tries < NEAR_TRIES; tries++) {
+	for (tries = 0; tries < LOCAL_TRIES; tries++) {
 		member = m->array[gsl_rng_uniform_int(m->rng, m->count)];
 		if (member->record.state == MEMBER_LEFT ||
 		    member->record.address[0] == '\0')
 			continue;
-		if (!near ||
+		if (!local ||
 		    strcmp(member->record.data_center, m->self.data_center) ==
 			0)
 			return member;
@@ -84,32 +85,33 @@
 }
 
 /*
- * Two sides of a healed partition each take the other for dead and would
- * never speak again if only the living were sent to.
+ * If messages went only to live members, the two sides of a partition would
+ * not find each other again after it has healed, since each takes the other
+ * for dead.
  */
 static struct member *
-pick_silent(struct members *m, int64_t now_ms)
+pick_silent_member(struct members *m, int64_t now_ms)
 {
-	struct member *member, *fresher;
+	struct member *member, *newer;
 	unsigned long skip;
 
-	if (m->ticks % REVIVE_EVERY != 0)
+	if (m->ticks % SILENT_INTERVAL != 0)
 		return NULL;
 	member = TAILQ_LAST(&m->heard, member_queue);
 	if (member == NULL || !member_silent(m, member, now_ms))
 		return NULL;
-	for (skip = gsl_rng_uniform_int(m->rng, SILENT_CHOICE); skip > 0;
+	for (skip = gsl_rng_uniform_int(m->rng, SILENT_CANDIDATES); skip > 0;
 	     skip--) {
-		fresher = TAILQ_PREV(member, member_queue, heard);
-		if (fresher == NULL || !member_silent(m, fresher, now_ms))
+		newer = TAILQ_PREV(member, member_queue, heard);
+		if (newer == NULL || !member_silent(m, newer, now_ms))
 			break;
-		member = fresher;
+		member = newer;
 	}
 	return member;
 }
 
 static void
-put_record(struct member_digest *digest, const struct member_record *record,
+add_record(struct member_digest *digest, const struct member_record *record,
     bool details)
 {
 	struct member_record *to;
@@ -132,25 +134,25 @@
 }
 
 /*
- * A few members in turn are passed on with their details, so that each is
- * told of again and again; the rest of the room goes to the freshest news,
- * which spreads it fastest.  Silent ones are left out: their records must die
- * out, not go round for ever.
+ * A few members are passed on with details in rotation, so that each one's are
+ * sent again and again.  The rest of the message has the most recent records,
+ * so that news spreads fast.  Silent members are left out: otherwise their
+ * records would circulate for ever.
  */
 static void
-fill_members(struct members *m, struct member_digest *digest, int64_t now_ms)
+add_members(struct members *m, struct member_digest *digest, int64_t now_ms)
 {
 	struct member *member;
 	size_t i;
 
 	for (i = 0; i < DETAILS_MAX && i < m->count; i++) {
-		member = TAILQ_FIRST(&m->turn);
-		TAILQ_REMOVE(&m->turn, member, turn);
-		TAILQ_INSERT_TAIL(&m->turn, member, turn);
+		member = TAILQ_FIRST(&m->rotation);
+		TAILQ_REMOVE(&m->rotation, member, rotation);
+		TAILQ_INSERT_TAIL(&m->rotation, member, rotation);
 		if (digest->nrecords < m->options.digest_max &&
 		    !member_silent(m, member, now_ms) &&
 		    member->details_counter != 0)
-			put_record(digest, &member->record, true);
+			add_record(digest, &member->record, true);
 	}
 	TAILQ_FOREACH (member, &m->heard, heard) {
 		if (digest->nrecords >= m->options.digest_max ||
@@ -158,47 +160,47 @@
 			return;
 		if (member->record.counter != 0 &&
 		    !in_digest(digest, member->record.id))
-			put_record(digest, &member->record, false);
+			add_record(digest, &member->record, false);
 	}
 }
 
 static void
-fill_shards(struct members *m, struct member_digest *digest)
+add_shards(struct members *m, struct member_digest *digest)
 {
 	struct shard_node *node, *first;
 
-	first = TAILQ_FIRST(&m->shard_turn);
+	first = TAILQ_FIRST(&m->shard_rotation);
 	while (digest->nshards < MEMBER_SHARDS_MAX) {
-		node = TAILQ_FIRST(&m->shard_turn);
+		node = TAILQ_FIRST(&m->shard_rotation);
 		if (node == NULL || (digest->nshards > 0 && node == first))
 			return;
-		TAILQ_REMOVE(&m->shard_turn, node, turn);
-		TAILQ_INSERT_TAIL(&m->shard_turn, node, turn);
+		TAILQ_REMOVE(&m->shard_rotation, node, rotation);
+		TAILQ_INSERT_TAIL(&m->shard_rotation, node, rotation);
 		digest->shards[digest->nshards++] = node->shard;
 	}
 }
 
 void
-gossip_send(struct members *m, struct member *target, bool probe_requested,
-    int64_t now_ms)
+gossip_send(
+    struct members *m, struct member *target, bool probe, int64_t now_ms)
 {
 	struct member_digest digest;
 
 	if (target == NULL || target->record.address[0] == '\0')
 		return;
-	digest.probe = probe_requested;
+	digest.probe = probe;
 	digest.nrecords = 0;
 	digest.nshards = 0;
-	put_record(&digest, &m->self, true);
-	fill_members(m, &digest, now_ms);
-	fill_shards(m, &digest);
+	add_record(&digest, &m->self, true);
+	add_members(m, &digest, now_ms);
+	add_shards(m, &digest);
 	m->options.on_send(target, &digest, m->options.ctx);
 }
 
 /*
- * With many entries news of one takes long to come round, so its silence
- * proves little.  Before it is held to be dead it is asked, and has a
- * heartbeat's time to answer.
+ * With many entries news of one may take long to arrive, so silence alone is
+ * weak evidence.  Before a member is declared dead it gets a probe and has one
+ * heartbeat interval to reply.
  */
 void
 gossip_probe(struct members *m, struct member *member, int64_t now_ms)
@@ -210,22 +212,22 @@
 }
 
 static void
-ask_accused(struct members *m, int64_t now_ms)
+probe_suspects(struct members *m, int64_t now_ms)
 {
 	struct member *member;
-	int asks;
+	int probes;
 
-	asks = 0;
+	probes = 0;
 	TAILQ_FOREACH_REVERSE(member, &m->heard, member_queue, heard)
 	{
-		if (asks == ASKS_MAX || !member_silent(m, member, now_ms))
+		if (probes == PROBES_MAX || !member_silent(m, member, now_ms))
 			return;
 		if (!member_unregistered_or_gone(m, member) ||
 		    member->record.state == MEMBER_LEFT ||
 		    member->probed_ms != 0)
 			continue;
 		gossip_probe(m, member, now_ms);
-		asks++;
+		probes++;
 	}
 }
 
@@ -234,16 +236,16 @@
 {
 	int i;
 
-	note_pause(m, now_ms);
-	forget_silent(m, now_ms);
+	check_pause(m, now_ms);
+	drop_silent(m, now_ms);
 	m->ticks++;
 	m->self.counter++;
-	/* One in its own data centre, the rest anywhere. */
+	/* The first target is in the same data centre, the others anywhere. */
 	for (i = 0; i < m->options.fanout; i++)
-		gossip_send(
-		    m, pick(m, i == 0 && m->options.fanout > 1), false, now_ms);
-	gossip_send(m, pick_silent(m, now_ms), true, now_ms);
-	ask_accused(m, now_ms);
+		gossip_send(m, pick_member(m, i == 0 && m->options.fanout > 1),
+		    false, now_ms);
+	gossip_send(m, pick_silent_member(m, now_ms), true, now_ms);
+	probe_suspects(m, now_ms);
 }
 
 void
--- a/core/health.c
+++ b/core/health.c
@@ -2,10 +2,10 @@
 
 #include "health.h"
 
-#define BACKOFF_SPREAD 4 /* a retry comes up to a quarter later */
+#define BACKOFF_SPREAD 4 /* a retry is up to a quarter of the backoff later */
 
 static int job_is_suspect(const struct health_job *);
-static void note_worker(struct health_job *, uint64_t);
+static void record_worker(struct health_job *, uint64_t);
 
 void
 health_options_default(struct health_options *o)
@@ -27,8 +27,9 @@
 }
 
 /*
- * A job that failed on two workers and never succeeded says little about
- * the next worker it fails on; else one bad job would back off the fleet.
+ * A job that failed on two workers and never succeeded is likely at fault, so
+ * its further failures don't count against workers.  Otherwise a single bad job
+ * would back off the whole fleet.
  */
 static int
 job_is_suspect(const struct health_job *j)
@@ -37,7 +38,7 @@
 }
 
 static void
-note_worker(struct health_job *j, uint64_t worker)
+record_worker(struct health_job *j, uint64_t worker)
 {
 	int i;
 
@@ -57,9 +58,9 @@
 	int suspect;
 
 	suspect = job_is_suspect(j);
-	/* A worker that fails everything says nothing about the job. */
+	/* A failure on a backed-off worker doesn't count against the job. */
 	if (w->failures < o->worker_failures)
-		note_worker(j, worker);
+		record_worker(j, worker);
 	w->probing = 0;
 	if (suspect) {
 		if (w->retry_ms != 0)
--- a/core/lending.c
+++ b/core/lending.c
@@ -2,46 +2,49 @@
 
 #include "lending.h"
 
-#define FLOOR_SLOTS 4 /* kept for the next calls, in all */
-#define FLOOR_CONNECTIONS 8
-#define WORTH_SHARE 16
-#define STALE_MS 100 /* news of a load older than that says little */
-#define BACKLOG_SHARE 4
-#define BACKLOG_MIN 2
+/* Spare credit that is not returned, over all workers. */
+#define RESERVE_SLOTS 4
+#define RESERVE_CONNECTIONS 8
+#define WORTHWHILE_SHARE 16
+#define LOAD_STALE_MS 100 /* an older report of a peer's load is stale */
+/* Limit of queued calls that count as need: busy / QUEUE_SHARE + QUEUE_MIN. */
+#define QUEUE_SHARE 4
+#define QUEUE_MIN 2
 
-struct asked {
-	lending_filter *serves;
+struct lending_scope {
+	lending_filter *filter;
 	const char *service;
 	void *ctx;
 };
 
-static bool usable(const struct credit_worker *, const struct asked *);
-static const struct credit_worker *usable_from(
-    struct credit_table *, const struct credit_worker *, const struct asked *);
+static bool usable(const struct credit_worker *, const struct lending_scope *);
+static const struct credit_worker *usable_from(struct credit_table *,
+    const struct credit_worker *, const struct lending_scope *);
 static struct credit_amount spare_of(
-    struct credit_table *, const struct asked *, int *);
-static int smaller(int, int);
-static int free_connections(struct credit_amount, int);
-static bool give_one(struct credit_table *, const struct credit_worker *,
-    const struct credit_peer *, struct credit_amount, struct credit_transfer *);
+    struct credit_table *, const struct lending_scope *, int *);
+static int min_int(int, int);
+static int transferable_connections(struct credit_amount, int);
+static bool transfer_credits(struct credit_table *,
+    const struct credit_worker *, const struct credit_peer *,
+    struct credit_amount, struct credit_transfer *);
 
 static int
-smaller(int a, int b)
+min_int(int a, int b)
 {
 	return a < b ? a : b;
 }
 
 /*
- * A backlog goes by itself once there are a few slots more than calls come in
- * for.  Counted in full it would draw far more, and leave a backlog where they
- * came from.
+ * A queue drains once there are a few more slots than the arriving calls use.
+ * Counting it in full would move far more slots than that, and build up a
+ * queue at the lender.
  */
 int
 lending_needed(int busy, int waiting)
 {
 	if (waiting < 0)
 		waiting = 0;
-	return busy + smaller(waiting, busy / BACKLOG_SHARE + BACKLOG_MIN);
+	return busy + min_int(waiting, busy / QUEUE_SHARE + QUEUE_MIN);
 }
 
 int
@@ -65,38 +68,38 @@
 
 	fair = lending_fair_share(lender, borrower);
 	half = (spare + 1) / 2;
-	return smaller(smaller(wanted, fair > half ? fair : half), spare);
+	return min_int(min_int(wanted, fair > half ? fair : half), spare);
 }
 
 bool
 lending_worthwhile(int offer, int held)
 {
-	return offer > 0 && offer * WORTH_SHARE >= held;
+	return offer > 0 && offer * WORTHWHILE_SHARE >= held;
 }
 
 int
 lending_estimate(
-    struct lending_load told, int64_t age_ms, struct lending_load own)
+    struct lending_load reported, int64_t age_ms, struct lending_load own)
 {
 	int offer;
 
-	offer = lending_fair_share(told, own);
-	if (lending_worthwhile(offer, own.held) || told.held == 0 ||
-	    age_ms < STALE_MS)
+	offer = lending_fair_share(reported, own);
+	if (lending_worthwhile(offer, own.held) || reported.held == 0 ||
+	    age_ms < LOAD_STALE_MS)
 		return offer;
-	return own.held / WORTH_SHARE + 1;
+	return own.held / WORTHWHILE_SHARE + 1;
 }
 
 struct lending_load
-lending_load_of(struct credit_table *book, lending_filter *serves,
+lending_load_of(struct credit_table *table, lending_filter *filter,
     const char *service, void *ctx)
 {
 	const struct credit_worker *row;
 	struct lending_load load;
 
 	memset(&load, 0, sizeof(load));
-	for (row = credit_first(book); row != NULL; row = credit_next(row)) {
-		if (row->leaving || !serves(row, service, ctx))
+	for (row = credit_first(table); row != NULL; row = credit_next(row)) {
+		if (row->leaving || !filter(row, service, ctx))
 			continue;
 		load.held += row->spare.slots + row->busy.slots;
 		load.needed += row->busy.slots;
@@ -105,38 +108,39 @@
 }
 
 static bool
-usable(const struct credit_worker *row, const struct asked *asked)
+usable(const struct credit_worker *row, const struct lending_scope *scope)
 {
 	return !row->leaving && row->spare.connections > 0 &&
-	    asked->serves(row, asked->service, asked->ctx);
+	    scope->filter(row, scope->service, scope->ctx);
 }
 
-/* The first usable row from this one on, round the end of the book. */
+/* The first usable row from this one on, wrapping at the end of the table. */
 static const struct credit_worker *
-usable_from(struct credit_table *book, const struct credit_worker *row,
-    const struct asked *asked)
+usable_from(struct credit_table *table, const struct credit_worker *row,
+    const struct lending_scope *scope)
 {
 	for (; row != NULL; row = credit_next(row)) {
-		if (usable(row, asked))
+		if (usable(row, scope))
 			return row;
 	}
-	for (row = credit_first(book); row != NULL; row = credit_next(row)) {
-		if (usable(row, asked))
+	for (row = credit_first(table); row != NULL; row = credit_next(row)) {
+		if (usable(row, scope))
 			return row;
 	}
 	return NULL;
 }
 
 static struct credit_amount
-spare_of(struct credit_table *book, const struct asked *asked, int *rows)
+spare_of(
+    struct credit_table *table, const struct lending_scope *scope, int *rows)
 {
 	const struct credit_worker *row;
 	struct credit_amount sum;
 
 	memset(&sum, 0, sizeof(sum));
 	*rows = 0;
-	for (row = credit_first(book); row != NULL; row = credit_next(row)) {
-		if (!usable(row, asked))
+	for (row = credit_first(table); row != NULL; row = credit_next(row)) {
+		if (!usable(row, scope))
 			continue;
 		sum.slots += row->spare.slots;
 		sum.connections += row->spare.connections;
@@ -146,11 +150,11 @@
 }
 
 /*
- * What may go with so many slots.  A slot that stays behind without a
- * connection could not be used by anyone.
+ * Connections that can be transferred along with the slots.  Each remaining
+ * slot keeps a connection, since a slot without one can't be used.
  */
 static int
-free_connections(struct credit_amount spare, int slots)
+transferable_connections(struct credit_amount spare, int slots)
 {
 	int left;
 
@@ -159,60 +163,61 @@
 }
 
 static bool
-give_one(struct credit_table *book, const struct credit_worker *row,
+transfer_credits(struct credit_table *table, const struct credit_worker *row,
     const struct credit_peer *peer, struct credit_amount want,
     struct credit_transfer *out)
 {
 	struct credit_amount amount;
 
-	amount.slots = smaller(want.slots, row->spare.slots);
+	amount.slots = min_int(want.slots, row->spare.slots);
 	amount.connections = amount.slots;
 	if (want.slots == 0)
-		amount.connections =
-		    smaller(want.connections, free_connections(row->spare, 0));
+		amount.connections = min_int(
+		    want.connections, transferable_connections(row->spare, 0));
 	if (amount.connections <= 0 ||
 	    amount.connections > row->spare.connections)
 		return false;
-	return credit_give(book, row->worker, peer, amount, out) == CREDIT_OK;
+	return credit_give(table, row->worker, peer, amount, out) == CREDIT_OK;
 }
 
 /*
- * Starts at another worker each time and takes the same share of each, so
- * that neither side ends up with credits for a few workers only.  A slot is
- * useless without a connection.
+ * Starts at another worker each time and takes the same share of each, so that
+ * neither entry ends up with credits for a few workers only.  A slot is given
+ * together with a connection, since it is useless without one.
  */
 size_t
-lending_grant(struct credit_table *book, lending_filter *serves, void *ctx,
+lending_grant(struct credit_table *table, lending_filter *filter, void *ctx,
     const struct lending_request *request, unsigned int turn,
     struct credit_transfer *out, size_t max)
 {
-	const struct asked asked = { serves, request->service, ctx };
+	const struct lending_scope scope = { filter, request->service, ctx };
 	const struct credit_worker *row;
 	struct credit_amount left, share, spare;
 	size_t given;
 	int at, rows;
 
-	spare = spare_of(book, &asked, &rows);
+	spare = spare_of(table, &scope, &rows);
 	left = request->wanted;
-	left.slots = smaller(left.slots, spare.slots);
+	left.slots = min_int(left.slots, spare.slots);
 	left.connections = left.slots > 0 ?
 	    left.slots :
-	    smaller(left.connections, (spare.connections + 1) / 2);
+	    min_int(left.connections, (spare.connections + 1) / 2);
 	if (rows == 0 || (request->wanted.slots > 0 && left.slots == 0))
 		return 0;
 	share.slots = (left.slots + rows - 1) / rows;
 	share.connections = (left.connections + rows - 1) / rows;
 	given = 0;
-	row = credit_first(book);
+	row = credit_first(table);
 	for (at = -(int)(turn % (unsigned int)rows); at < rows; at++) {
-		row = usable_from(book, row, &asked);
+		row = usable_from(table, row, &scope);
 		if (row == NULL || given == max || left.connections <= 0)
 			break;
-		share.slots = smaller(share.slots, left.slots);
+		share.slots = min_int(share.slots, left.slots);
 		share.connections =
-		    smaller(share.connections, left.connections);
+		    min_int(share.connections, left.connections);
 		if (at >= 0 &&
-		    give_one(book, row, &request->peer, share, &out[given])) {
+		    transfer_credits(
+			table, row, &request->peer, share, &out[given])) {
 			left.slots -= out[given].amount.slots;
 			left.connections -= out[given].amount.connections;
 			given++;
@@ -252,20 +257,20 @@
 
 struct credit_amount
 lending_return(struct credit_amount idle, struct credit_amount row,
-    struct credit_amount spare_here)
+    struct credit_amount local_spare)
 {
 	struct credit_amount back;
 
 	back.slots =
-	    smaller((idle.slots + 1) / 2, spare_here.slots - FLOOR_SLOTS);
+	    min_int((idle.slots + 1) / 2, local_spare.slots - RESERVE_SLOTS);
 	if (back.slots < 0)
 		back.slots = 0;
-	back.connections = smaller((idle.connections + 1) / 2,
-	    spare_here.connections - FLOOR_CONNECTIONS);
+	back.connections = min_int((idle.connections + 1) / 2,
+	    local_spare.connections - RESERVE_CONNECTIONS);
 	if (back.connections < back.slots)
 		back.connections = back.slots;
-	back.connections = smaller(smaller(back.connections, idle.connections),
-	    free_connections(row, back.slots));
+	back.connections = min_int(min_int(back.connections, idle.connections),
+	    transferable_connections(row, back.slots));
 	if (back.slots > back.connections)
 		back.slots = back.connections;
 	return back;
--- a/core/lending.h
+++ b/core/lending.h
@@ -8,53 +8,55 @@
 #include "credit.h"
 
 /*
- * How credits are lent by demand: whom an entry that is short asks and how
- * often, what the one that is asked gives, and what goes back unasked.
+ * Lending of credits between entries by demand: when a borrower sends a
+ * request and to whom, how much the lender gives, and how much idle credit is
+ * returned without a request.
  */
 
-/* Slots that an entry has for a service, and has use for. */
+/* Slots of a service at one entry. */
 struct lending_load {
-	int held; /* spare or under a call */
+	int held; /* spare or in use */
 	int needed; /* lending_needed() */
 };
 
-/* Slots needed for so many calls under way and waiting. */
+/* Slots needed for the calls in flight (busy) and queued (waiting). */
 int lending_needed(int busy, int waiting);
 
 /*
- * How many slots the lender should give so that both hold in proportion to
- * what they need; never below 0.
+ * Slots to transfer so that both entries hold slots in proportion to their
+ * need; 0 if the lender has too few itself.
  */
 int lending_fair_share(
     struct lending_load lender, struct lending_load borrower);
 
 /*
- * How many of its spare slots the lender gives: what is fair, but at least
- * half of them, since a call waits there and none here.
+ * Spare slots that the lender gives: the fair share, but at least half of the
+ * spare ones, since calls are waiting at the borrower and none at the lender.
  */
 int lending_offer(struct lending_load lender, struct lending_load borrower,
     int spare, int wanted);
 
 /*
- * Is so large an offer worth a request, to an entry that holds so many?  A
- * sixteenth of them: below that the next call that ends serves as well, and
- * under full load all entries would keep asking each other.
+ * Whether an offer is worth a request to a borrower that holds that many slots:
+ * at least a sixteenth of them.  For less, waiting for a call in flight to end
+ * is as fast, and under full load all entries would keep sending requests to
+ * each other.
  */
 bool lending_worthwhile(int offer, int held);
 
 /*
- * What a peer may offer that told its load so long ago.  Old news that it has
- * nothing to spare isn't believed: it is worth one request, whose answer
- * brings new ones.
+ * Estimate the offer of a peer from the load it reported age_ms ago.  A stale
+ * report that leaves nothing worthwhile is disregarded: the peer is sent one
+ * request, since its response brings a current report.
  */
 int lending_estimate(
-    struct lending_load told, int64_t age_ms, struct lending_load own);
+    struct lending_load reported, int64_t age_ms, struct lending_load own);
 
-/* Is the worker one of the service asked for, and able to take calls? */
+/* Whether the worker runs the service and can take calls. */
 typedef bool lending_filter(
     const struct credit_worker *, const char *service, void *ctx);
 
-/* Slots held and calls under way here for a service. */
+/* The load of this entry for a service; needed counts calls in flight only. */
 struct lending_load lending_load_of(
     struct credit_table *, lending_filter *, const char *service, void *ctx);
 
@@ -65,34 +67,36 @@
 };
 
 /*
- * Give spare credits to a peer, a like share of each worker, so that the
- * borrower can choose among many.  Of connections alone (for watches) at most
- * half.  turn says with which worker to begin.  Fills out[0..max); returns
- * how many.
+ * Transfer spare credits to a peer, an equal share of each worker, so that the
+ * borrower can choose among many workers.  Of a request for connections alone
+ * (for watches) at most half of the spare ones are granted.  turn selects the
+ * worker to begin with.  Fills up to max elements of out and returns their
+ * number.
  */
 size_t lending_grant(struct credit_table *, lending_filter *, void *ctx,
     const struct lending_request *, unsigned int turn,
     struct credit_transfer *out, size_t max);
 
-/* Requests for credits: a burst, then a steady rate. */
+/* Token bucket that limits requests for credits. */
 struct lending_rate {
 	int burst;
-	int64_t refill_ms; /* for one more */
+	int64_t refill_ms; /* per token */
 	int tokens;
 	int64_t refilled_ms;
 };
 
-/* The whole burst is there at first. */
+/* The bucket starts full. */
 void lending_rate_init(
     struct lending_rate *, int burst, int64_t refill_ms, int64_t now_ms);
-/* false: not now; else one request may go out. */
+/* Take a token; false if there is none. */
 bool lending_rate_take(struct lending_rate *, int64_t now_ms);
 
 /*
- * Of what lay idle in a row, how much to return: half, unless little is left
- * here.  row is what the row has spare, spare_here the sum of all rows.
+ * Idle credit of one row to return to the owner: half, less if this entry would
+ * keep too little.  row is the spare credit of the row, local_spare the sum
+ * over all rows.
  */
 struct credit_amount lending_return(struct credit_amount idle,
-    struct credit_amount row, struct credit_amount spare_here);
+    struct credit_amount row, struct credit_amount local_spare);
 
 #endif /* LENDING_H */
--- a/core/member.c
+++ b/core/member.c
@@ -11,9 +11,9 @@
 static int compare_shards(const struct shard_node *, const struct shard_node *);
 static struct member *find(const struct members *, const char *);
 static struct member *add(struct members *, const char *, int64_t);
-static bool asked_in_vain(
+static bool probe_timed_out(
     const struct members *, const struct member *, int64_t);
-static void note_heard(struct members *, struct member *, int64_t);
+static void set_heard(struct members *, struct member *, int64_t);
 static void merge_details(
     struct member *, const struct member_record *, int64_t);
 static void merge_record(
@@ -61,8 +61,8 @@
 	RB_INIT(&m->tree);
 	RB_INIT(&m->shards);
 	TAILQ_INIT(&m->heard);
-	TAILQ_INIT(&m->turn);
-	TAILQ_INIT(&m->shard_turn);
+	TAILQ_INIT(&m->rotation);
+	TAILQ_INIT(&m->shard_rotation);
 	return m;
 }
 
@@ -75,8 +75,8 @@
 		return;
 	while (m->count > 0)
 		member_drop(m, m->array[0]);
-	while ((node = TAILQ_FIRST(&m->shard_turn)) != NULL) {
-		TAILQ_REMOVE(&m->shard_turn, node, turn);
+	while ((node = TAILQ_FIRST(&m->shard_rotation)) != NULL) {
+		TAILQ_REMOVE(&m->shard_rotation, node, rotation);
 		free(node);
 	}
 	free(m->array);
@@ -117,8 +117,8 @@
 	m->array[m->count++] = member;
 	RB_INSERT(member_tree, &m->tree, member);
 	TAILQ_INSERT_HEAD(&m->heard, member, heard);
-	/* Passed on soon, so that a newcomer is known everywhere. */
-	TAILQ_INSERT_HEAD(&m->turn, member, turn);
+	/* At the head, so that a new member is passed on soon. */
+	TAILQ_INSERT_HEAD(&m->rotation, member, rotation);
 	return member;
 }
 
@@ -132,7 +132,7 @@
 	last->index = member->index;
 	RB_REMOVE(member_tree, &m->tree, member);
 	TAILQ_REMOVE(&m->heard, member, heard);
-	TAILQ_REMOVE(&m->turn, member, turn);
+	TAILQ_REMOVE(&m->rotation, member, rotation);
 	free(member);
 }
 
@@ -143,7 +143,6 @@
 	return now_ms - member->heard_ms >= m->options.silence_ms;
 }
 
-/* Does a witness other than silence speak against it? */
 bool
 member_unregistered_or_gone(
     const struct members *m, const struct member *member)
@@ -155,7 +154,7 @@
 }
 
 static void
-note_heard(struct members *m, struct member *member, int64_t now_ms)
+set_heard(struct members *m, struct member *member, int64_t now_ms)
 {
 	member->heard_ms = now_ms;
 	member->probed_ms = 0;
@@ -163,7 +162,10 @@
 	TAILQ_INSERT_HEAD(&m->heard, member, heard);
 }
 
-/* Details may be older than the counter, which short records carry ahead. */
+/*
+ * Details have a counter of their own: short records may have advanced the
+ * member's counter past that of its latest details.
+ */
 static void
 merge_details(
     struct member *member, const struct member_record *record, int64_t now_ms)
@@ -213,7 +215,7 @@
 	known->counter = record->counter;
 	known->state = record->state;
 	known->store_answers = record->store_answers;
-	note_heard(m, member, now_ms);
+	set_heard(m, member, now_ms);
 }
 
 void
@@ -227,7 +229,10 @@
 	for (i = 0; i < digest->nshards; i++)
 		shard_set(m, digest->shards[i].shard, digest->shards[i].owner,
 		    digest->shards[i].epoch);
-	/* What waited in the sockets during a pause is read at once: old. */
+	/*
+	 * Messages that were queued in the sockets during a pause are out of
+	 * date and don't end it; they are read right after it.
+	 */
 	if (now_ms - m->paused_ms >= m->options.heartbeat_ms)
 		m->rejoin_ms = 0;
 	if (digest->probe && digest->nrecords > 0)
@@ -261,7 +266,7 @@
 		known->counter = 0;
 		known->state = MEMBER_ALIVE;
 		member->details_counter = 0;
-		note_heard(m, member, now_ms);
+		set_heard(m, member, now_ms);
 	}
 	memcpy(known->address, record->address, sizeof(known->address));
 	memcpy(known->data_center, record->data_center,
@@ -334,7 +339,7 @@
 }
 
 static bool
-asked_in_vain(
+probe_timed_out(
     const struct members *m, const struct member *member, int64_t now_ms)
 {
 	return member->probed_ms != 0 &&
@@ -374,7 +379,7 @@
 		return verdict;
 	if (replaced ||
 	    (verdict.gossip_silent && member_unregistered_or_gone(m, member) &&
-		asked_in_vain(m, member, now_ms)))
+		probe_timed_out(m, member, now_ms)))
 		verdict.state = MEMBER_DEAD;
 	else if (verdict.gossip_silent)
 		verdict.state = MEMBER_SUSPECT;
@@ -410,15 +415,15 @@
 			return;
 		strlcpy(node->shard.shard, shard, sizeof(node->shard.shard));
 		RB_INSERT(shard_tree, &m->shards, node);
-		TAILQ_INSERT_HEAD(&m->shard_turn, node, turn);
+		TAILQ_INSERT_HEAD(&m->shard_rotation, node, rotation);
 	}
 	if (epoch <= node->shard.epoch)
 		return;
 	node->shard.epoch = epoch;
 	strlcpy(node->shard.owner, owner, sizeof(node->shard.owner));
-	/* News first. */
-	TAILQ_REMOVE(&m->shard_turn, node, turn);
-	TAILQ_INSERT_HEAD(&m->shard_turn, node, turn);
+	/* Pass on new owners first. */
+	TAILQ_REMOVE(&m->shard_rotation, node, rotation);
+	TAILQ_INSERT_HEAD(&m->shard_rotation, node, rotation);
 }
 
 void
--- a/core/member_int.h
+++ b/core/member_int.h
@@ -8,11 +8,11 @@
 
 #include "member.h"
 
-/* Shared by member.c, the table and the verdicts, and gossip.c, the rounds. */
+/* Shared by member.c (table, failure detection) and gossip.c (messages). */
 
 struct shard_node {
 	RB_ENTRY(shard_node) node;
-	TAILQ_ENTRY(shard_node) turn;
+	TAILQ_ENTRY(shard_node) rotation;
 	struct member_shard shard;
 };
 
@@ -26,28 +26,27 @@
 	struct member_record self;
 	struct member_tree tree;
 	struct member_queue heard;
-	struct member_queue turn;
-	struct member **array; /* all, for random picks */
+	struct member_queue rotation;
+	struct member **array; /* all members, for random selection */
 	size_t count;
 	size_t capacity;
 	struct shard_tree shards;
-	struct shard_queue shard_turn;
+	struct shard_queue shard_rotation;
 	gsl_rng *rng;
 	int64_t ticked_ms;
-	int64_t paused_ms; /* when the last pause was noticed */
-	int64_t rejoin_ms; /* not acting before; 0: acting */
-	int64_t loaded_ms; /* registry read whole; -1: never */
+	int64_t paused_ms; /* when the last pause was detected */
+	int64_t rejoin_ms; /* may not act until then; 0: may act */
+	int64_t loaded_ms; /* first full read of the registry; -1: none yet */
 	uint64_t ticks;
 };
 
 bool member_silent(const struct members *, const struct member *, int64_t);
-/* Does a witness other than silence speak against it? */
+/* Whether the registry or the VM list indicates that the member is dead. */
 bool member_unregistered_or_gone(const struct members *, const struct member *);
 void member_drop(struct members *, struct member *);
 
-/* One message to that member; probe_requested makes it answer. */
-void gossip_send(
-    struct members *, struct member *, bool probe_requested, int64_t now_ms);
+/* Send a message to the member; probe makes it reply at once. */
+void gossip_send(struct members *, struct member *, bool probe, int64_t now_ms);
 void gossip_probe(struct members *, struct member *, int64_t now_ms);
 
 #endif /* MEMBER_INT_H */
--- a/core/outbox.c
+++ b/core/outbox.c
@@ -1,14 +1,17 @@
 #include "outbox.h"
 
-/* Starts go last: they may put the link into debt for so long. */
-#define START_DEBT_MS 200
-/* A start's order: names, and a payload of some hundred bytes. */
+/*
+ * Starts are sent after all other orders, and may overdraw the link by as much
+ * as it carries in this time.
+ */
+#define START_OVERDRAFT_MS 200
+/* Estimated size of a start order: names, and a payload of some 100 bytes. */
 #define START_BYTES 250
 /*
- * On a full link orders are gathered for so long: a fraction of the time that
- * starts wait there, and much less than calls to workers wait for answers.
+ * Batching delay on a full link: a fraction of the time that starts wait there,
+ * and well below the timeout of calls to workers.
  */
-#define GATHER_MS 80
+#define BATCH_MS 80
 
 void
 outbox_init(struct outbox *o, struct pacer *link)
@@ -19,20 +22,20 @@
 }
 
 uint32_t
-outbox_start_budget(struct outbox *o, double gathered_bytes, int64_t now_ms)
+outbox_start_budget(struct outbox *o, double batched_bytes, int64_t now_ms)
 {
 	double left;
 
-	left = pacer_available(o->link, now_ms) - gathered_bytes;
+	left = pacer_available(o->link, now_ms) - batched_bytes;
 	o->full = left < 0;
-	left += o->link->rate * START_DEBT_MS;
+	left += o->link->rate * START_OVERDRAFT_MS;
 	return left > 0 ? 1 + (uint32_t)(left / START_BYTES) : 0;
 }
 
 int64_t
 outbox_flush_ms(const struct outbox *o)
 {
-	return o->full ? o->sent_ms + GATHER_MS : 0;
+	return o->full ? o->sent_ms + BATCH_MS : 0;
 }
 
 void
--- a/core/outbox.h
+++ b/core/outbox.h
@@ -7,28 +7,29 @@
 #include "pacer.h"
 
 /*
- * When a leader's orders go out and how many starts may be among them, so that
- * no queue builds up on its link in which beats and answers would wait.
- * Orders to one member share a message; a message costs as much as an order.
+ * Rate limiting of a leader's orders: when batched orders are sent, and how
+ * many of them may be starts.  It prevents a queue on the leader's link that
+ * would delay heartbeats and responses.  Orders to one member are batched into
+ * a message, since sending a message costs as much as an order.
  */
 struct outbox {
-	struct pacer *link; /* the entry's, on which all it sends is counted */
-	bool full; /* as of the last outbox_start_budget() */
-	int64_t sent_ms; /* gathered orders last went out */
+	struct pacer *link; /* counts all that the entry sends */
+	bool full; /* the link, as of the last outbox_start_budget() */
+	int64_t sent_ms; /* when the last batch was sent */
 };
 
 void outbox_init(struct outbox *, struct pacer *link);
 /*
- * Starts that may be ordered now, beside gathered orders of so many bytes.
- * They wait for the link in the order in which they should go; what can't wait
- * is ordered whatever this says.
+ * Number of starts that may be ordered now, in addition to the batched orders.
+ * The caller queues the other starts by priority.  Orders that can't wait are
+ * sent regardless of the budget.
  */
 uint32_t outbox_start_budget(
-    struct outbox *, double gathered_bytes, int64_t now_ms);
+    struct outbox *, double batched_bytes, int64_t now_ms);
 /*
- * When gathered orders should go out; a time that has passed: now.  While the
- * link is full they are gathered for longer, so that more of it is left for
- * orders: headers of messages would else take a third of it.
+ * When the batched orders should be sent; if that time has passed, now.  While
+ * the link is full, orders are batched for longer: message headers would
+ * otherwise take a third of the bandwidth.
  */
 int64_t outbox_flush_ms(const struct outbox *);
 void outbox_flushed(struct outbox *, int64_t now_ms);
--- a/core/recent_ids.c
+++ b/core/recent_ids.c
@@ -5,20 +5,20 @@
 
 #include "recent_ids.h"
 
-struct mark {
+struct sent_id {
 	uint64_t hash; /* 0: empty */
 	int64_t sent_ms;
 };
 
 struct recent_ids {
 	struct recent_ids_options o;
-	struct mark *marks;
+	struct sent_id *table;
 };
 
-static uint64_t hash_of(const char *);
+static uint64_t id_hash(const char *);
 
 static uint64_t
-hash_of(const char *id)
+id_hash(const char *id)
 {
 	uint64_t hash;
 
@@ -34,8 +34,8 @@
 	if ((r = calloc(1, sizeof(*r))) == NULL)
 		return NULL;
 	r->o = *o;
-	r->marks = calloc(o->ids_max, sizeof(*r->marks));
-	if (r->marks == NULL) {
+	r->table = calloc(o->ids_max, sizeof(*r->table));
+	if (r->table == NULL) {
 		free(r);
 		return NULL;
 	}
@@ -45,29 +45,29 @@
 void
 recent_ids_close(struct recent_ids *r)
 {
-	free(r->marks);
+	free(r->table);
 	free(r);
 }
 
 void
 recent_ids_add(struct recent_ids *r, const char *id, int64_t now_ms)
 {
-	struct mark *m;
+	struct sent_id *sent;
 	uint64_t hash;
 
-	hash = hash_of(id);
-	m = &r->marks[hash & (r->o.ids_max - 1)];
-	m->hash = hash;
-	m->sent_ms = now_ms;
+	hash = id_hash(id);
+	sent = &r->table[hash & (r->o.ids_max - 1)];
+	sent->hash = hash;
+	sent->sent_ms = now_ms;
 }
 
 bool
 recent_ids_has(const struct recent_ids *r, const char *id, int64_t now_ms)
 {
-	const struct mark *m;
+	const struct sent_id *sent;
 	uint64_t hash;
 
-	hash = hash_of(id);
-	m = &r->marks[hash & (r->o.ids_max - 1)];
-	return m->hash == hash && now_ms - m->sent_ms < r->o.keep_ms;
+	hash = id_hash(id);
+	sent = &r->table[hash & (r->o.ids_max - 1)];
+	return sent->hash == hash && now_ms - sent->sent_ms < r->o.keep_ms;
 }
--- a/core/recent_ids.h
+++ b/core/recent_ids.h
@@ -5,11 +5,13 @@
 #include <stdint.h>
 
 /*
- * Which request ids were sent to an endpoint from here lately.  A caller may
- * repeat an id whose outcome it doesn't know; if the repeat is refused here,
- * "not-run" would be taken for the id as a whole, which may have run.
+ * Ids of the requests that this entry recently sent to an endpoint.  A caller
+ * may repeat an id whose outcome it doesn't know.  If the repeat is refused
+ * with "not-run", the caller would take that for all its requests with the id,
+ * though an earlier one may have run.
  *
- * A table of hashes of constant size: a newer id may push an older one out.
+ * The ids are stored as hashes in a table of fixed size, in which a newer id
+ * may replace an older one.
  */
 
 struct recent_ids;
@@ -19,11 +21,14 @@
 	int64_t keep_ms;
 };
 
-/* NULL without memory. */
+/* NULL: no memory. */
 struct recent_ids *recent_ids_open(const struct recent_ids_options *);
 void recent_ids_close(struct recent_ids *);
 void recent_ids_add(struct recent_ids *, const char *id, int64_t now_ms);
-/* It, or an id of the same hash, went out within keep_ms and is still known. */
+/*
+ * Whether the id is in the table and was added within keep_ms.  An id with the
+ * same hash gives a false positive.
+ */
 bool recent_ids_has(const struct recent_ids *, const char *id, int64_t now_ms);
 
 #endif /* RECENT_IDS_H */
--- a/core/response_cache.c
+++ b/core/response_cache.c
@@ -9,9 +9,9 @@
 
 #define TABLE_SIZE 1024
 
-struct item {
-	LIST_ENTRY(item) link;
-	TAILQ_ENTRY(item) age_link;
+struct entry {
+	LIST_ENTRY(entry) link;
+	TAILQ_ENTRY(entry) age_link;
 	uint64_t hash;
 	int64_t stored_ms;
 	size_t bytes;
@@ -22,53 +22,54 @@
 	size_t len;
 };
 
-LIST_HEAD(item_list, item);
-TAILQ_HEAD(item_queue, item);
+LIST_HEAD(entry_list, entry);
+TAILQ_HEAD(entry_queue, entry);
 
 struct response_cache {
 	struct response_cache_options o;
-	struct item_list table[TABLE_SIZE];
-	struct item_queue ages; /* oldest first */
-	size_t answers;
+	struct entry_list table[TABLE_SIZE];
+	struct entry_queue by_age; /* oldest first */
+	size_t nentries;
 	size_t bytes;
 };
 
-static struct item_list *list_of(struct response_cache *, const char *);
-static struct item *find(struct response_cache *, const char *, uint64_t);
-static void item_free(struct response_cache *, struct item *);
-static void make_room(struct response_cache *, size_t, int64_t);
+static struct entry_list *hash_chain(struct response_cache *, const char *);
+static struct entry *find_entry(
+    struct response_cache *, const char *, uint64_t);
+static void entry_free(struct response_cache *, struct entry *);
+static void evict(struct response_cache *, size_t, int64_t);
 
-static struct item_list *
-list_of(struct response_cache *k, const char *id)
+static struct entry_list *
+hash_chain(struct response_cache *cache, const char *id)
 {
-	return &k->table[XXH64(id, strlen(id), 0) % TABLE_SIZE];
+	return &cache->table[XXH64(id, strlen(id), 0) % TABLE_SIZE];
 }
 
 struct response_cache *
 response_cache_open(const struct response_cache_options *o)
 {
-	struct response_cache *k;
+	struct response_cache *cache;
 	int i;
 
-	if ((k = calloc(1, sizeof(*k))) == NULL)
+	if ((cache = calloc(1, sizeof(*cache))) == NULL)
 		return NULL;
-	k->o = *o;
+	cache->o = *o;
 	for (i = 0; i < TABLE_SIZE; i++)
-		LIST_INIT(&k->table[i]);
-	TAILQ_INIT(&k->ages);
-	return k;
+		LIST_INIT(&cache->table[i]);
+	TAILQ_INIT(&cache->by_age);
+	return cache;
 }
 
 void
-response_cache_close(struct response_cache *k)
+response_cache_close(struct response_cache *cache)
 {
-	struct item *it, *next;
+	struct entry *entry, *next;
 
-	for (it = TAILQ_FIRST(&k->ages); it != NULL; it = next) {
-		next = TAILQ_NEXT(it, age_link);
-		item_free(k, it);
+	for (entry = TAILQ_FIRST(&cache->by_age); entry != NULL; entry = next) {
+		next = TAILQ_NEXT(entry, age_link);
+		entry_free(cache, entry);
 	}
-	free(k);
+	free(cache);
 }
 
 uint64_t
@@ -76,102 +77,102 @@
 {
 	uint64_t hash;
 
-	/* With the NULs, so that the parts can't run into each other. */
+	/* The NULs are hashed too, so that adjacent strings stay distinct. */
 	hash = XXH64(key->id, strlen(key->id) + 1, 0);
 	hash = XXH64(key->team, strlen(key->team) + 1, hash);
 	hash = XXH64(key->service, strlen(key->service) + 1, hash);
 	return XXH64(key->len > 0 ? key->body : "", key->len, hash);
 }
 
-static struct item *
-find(struct response_cache *k, const char *id, uint64_t hash)
+static struct entry *
+find_entry(struct response_cache *cache, const char *id, uint64_t hash)
 {
-	struct item *it;
+	struct entry *entry;
 
-	LIST_FOREACH (it, list_of(k, id), link) {
-		if (it->hash == hash && strcmp(it->id, id) == 0)
-			return it;
+	LIST_FOREACH (entry, hash_chain(cache, id), link) {
+		if (entry->hash == hash && strcmp(entry->id, id) == 0)
+			return entry;
 	}
 	return NULL;
 }
 
 static void
-item_free(struct response_cache *k, struct item *it)
+entry_free(struct response_cache *cache, struct entry *entry)
 {
-	LIST_REMOVE(it, link);
-	TAILQ_REMOVE(&k->ages, it, age_link);
-	k->answers--;
-	k->bytes -= it->bytes;
-	free(it->id);
-	free(it->type);
-	free(it->body);
-	free(it);
+	LIST_REMOVE(entry, link);
+	TAILQ_REMOVE(&cache->by_age, entry, age_link);
+	cache->nentries--;
+	cache->bytes -= entry->bytes;
+	free(entry->id);
+	free(entry->type);
+	free(entry->body);
+	free(entry);
 }
 
 static void
-make_room(struct response_cache *k, size_t bytes, int64_t now_ms)
+evict(struct response_cache *cache, size_t bytes, int64_t now_ms)
 {
-	struct item *it, *next;
+	struct entry *entry, *next;
 
-	for (it = TAILQ_FIRST(&k->ages); it != NULL; it = next) {
-		next = TAILQ_NEXT(it, age_link);
-		if (now_ms - it->stored_ms < k->o.keep_ms &&
-		    k->answers < k->o.entries_max &&
-		    k->bytes + bytes <= k->o.bytes_max)
+	for (entry = TAILQ_FIRST(&cache->by_age); entry != NULL; entry = next) {
+		next = TAILQ_NEXT(entry, age_link);
+		if (now_ms - entry->stored_ms < cache->o.keep_ms &&
+		    cache->nentries < cache->o.entries_max &&
+		    cache->bytes + bytes <= cache->o.bytes_max)
 			return;
-		item_free(k, it);
+		entry_free(cache, entry);
 	}
 }
 
 void
-response_cache_put(struct response_cache *k, const char *id, uint64_t hash,
+response_cache_put(struct response_cache *cache, const char *id, uint64_t hash,
     const struct cached_response *a, int64_t now_ms)
 {
-	struct item *it;
+	struct entry *entry;
 	size_t bytes;
 
-	bytes = sizeof(*it) + strlen(id) + strlen(a->type) + a->len;
-	if (bytes > k->o.bytes_max || find(k, id, hash) != NULL)
+	bytes = sizeof(*entry) + strlen(id) + strlen(a->type) + a->len;
+	if (bytes > cache->o.bytes_max || find_entry(cache, id, hash) != NULL)
 		return;
-	make_room(k, bytes, now_ms);
-	if ((it = calloc(1, sizeof(*it))) == NULL)
+	evict(cache, bytes, now_ms);
+	if ((entry = calloc(1, sizeof(*entry))) == NULL)
 		return;
-	it->id = strdup(id);
-	it->type = strdup(a->type);
-	it->body = malloc(a->len + 1);
-	if (it->id == NULL || it->type == NULL || it->body == NULL)
+	entry->id = strdup(id);
+	entry->type = strdup(a->type);
+	entry->body = malloc(a->len + 1);
+	if (entry->id == NULL || entry->type == NULL || entry->body == NULL)
 		goto fail;
-	memcpy(it->body, a->body, a->len);
-	it->len = a->len;
-	it->hash = hash;
-	it->status = a->status;
-	it->stored_ms = now_ms;
-	it->bytes = bytes;
-	LIST_INSERT_HEAD(list_of(k, id), it, link);
-	TAILQ_INSERT_TAIL(&k->ages, it, age_link);
-	k->answers++;
-	k->bytes += bytes;
+	memcpy(entry->body, a->body, a->len);
+	entry->len = a->len;
+	entry->hash = hash;
+	entry->status = a->status;
+	entry->stored_ms = now_ms;
+	entry->bytes = bytes;
+	LIST_INSERT_HEAD(hash_chain(cache, id), entry, link);
+	TAILQ_INSERT_TAIL(&cache->by_age, entry, age_link);
+	cache->nentries++;
+	cache->bytes += bytes;
 	return;
 
 fail:
-	free(it->id);
-	free(it->type);
-	free(it->body);
-	free(it);
+	free(entry->id);
+	free(entry->type);
+	free(entry->body);
+	free(entry);
 }
 
 int
-response_cache_get(struct response_cache *k, const char *id, uint64_t hash,
+response_cache_get(struct response_cache *cache, const char *id, uint64_t hash,
     int64_t now_ms, struct cached_response *a)
 {
-	struct item *it;
+	struct entry *entry;
 
-	if ((it = find(k, id, hash)) == NULL ||
-	    now_ms - it->stored_ms >= k->o.keep_ms)
+	if ((entry = find_entry(cache, id, hash)) == NULL ||
+	    now_ms - entry->stored_ms >= cache->o.keep_ms)
 		return -1;
-	a->status = it->status;
-	a->type = it->type;
-	a->body = it->body;
-	a->len = it->len;
+	a->status = entry->status;
+	a->type = entry->type;
+	a->body = entry->body;
+	a->len = entry->len;
 	return 0;
 }
--- a/core/response_cache.h
+++ b/core/response_cache.h
@@ -5,11 +5,11 @@
 #include <stdint.h>
 
 /*
- * Complete answers of non-idempotent calls, kept for a while within a bound
- * of memory.  A caller whose connection broke repeats its id; if its repeat
- * comes to the entry that still has the answer, it gets the answer instead
- * of "unknown".  The repeat must be the same request in every part that
- * matters, so that no caller sees the answer to somebody else's.
+ * Cache of complete responses to non-idempotent calls, bounded in time and
+ * memory.  A caller whose connection broke repeats the request with the same
+ * id; an entry that still has the response sends it again instead of reporting
+ * an unknown outcome.  The repeat must agree in id, team, service and body, so
+ * that no caller gets the response to another one's request.
  */
 
 struct response_cache;
@@ -35,19 +35,25 @@
 	int64_t keep_ms;
 };
 
-/* NULL without memory. */
+/* NULL: no memory. */
 struct response_cache *response_cache_open(
     const struct response_cache_options *);
 void response_cache_close(struct response_cache *);
 
-/* The hash by which a request is told from another one with its id. */
+/* Hash of a request, to tell it from another request with the same id. */
 uint64_t response_cache_hash(const struct response_cache_key *);
 
-/* Copies the answer; one that is too large, or no memory: not kept. */
+/*
+ * Store a copy of the response.  It is not stored if it exceeds bytes_max or
+ * there is no memory.
+ */
 void response_cache_put(struct response_cache *, const char *id, uint64_t hash,
     const struct cached_response *, int64_t now_ms);
 
-/* 0, or -1 if there is none.  The answer is valid until the next call. */
+/*
+ * Look up a response.  Returns 0, or -1 if there is none.  It is valid until
+ * the next call of response_cache_put() or response_cache_close().
+ */
 int response_cache_get(struct response_cache *, const char *id, uint64_t hash,
     int64_t now_ms, struct cached_response *);
 
--- a/core/route.c
+++ b/core/route.c
@@ -7,28 +7,28 @@
 
 #define WORKER_ID_MAX 96
 /*
- * Lost calls in a row after which another member tries.  One alone is mostly
- * the worker's doing, as when it leaves an order unanswered.
+ * Consecutive lost calls after which the worker moves to another member.  A
+ * single lost call is mostly due to the worker, which left an order unanswered.
  */
-#define LOST_ROW 2
-/* A moved worker stays with its new member for so long after a loss. */
+#define LOST_MAX 2
+/* A moved worker returns to its first choice this long after a loss. */
 #define KEEP_MS 60000
-/* Members elsewhere are left out until the worker was moved so often. */
-#define NEAR_MOVES 2
-/* Weight of a member in another data center while nearer ones may do. */
-#define FAR_SHARE 0.001
+/* Moves after which members in other data centers have their full weight. */
+#define LOCAL_MOVES 2
+/* Weight of a member in another data centre before that. */
+#define REMOTE_WEIGHT 0.001
 #define HASH_RANGE 1000003
 
 struct route {
 	RB_ENTRY(route) by_worker;
 	char worker[WORKER_ID_MAX];
-	uint32_t lost_row;
+	uint32_t lost_in_row;
 	uint32_t moves;
 	int64_t lost_ms; /* 0: never */
 	int64_t used_ms;
-	void *member; /* the one that was drawn, of */
-	uint64_t version; /* these members; 0: none is kept */
-	int64_t until_ms; /* a better one may be used then; 0: there is none */
+	void *member; /* data of the selected member */
+	uint64_t version; /* of the list it is from; 0: select anew */
+	int64_t until_ms; /* select anew at this time; 0: not set */
 };
 
 static int
@@ -98,9 +98,12 @@
 	return route;
 }
 
-/* Highest of the weighted draws: each member wins by its weight's share. */
+/*
+ * A pseudorandom number in (0, 1] for rendezvous hashing.  It changes with each
+ * move of the worker.
+ */
 static double
-draw(const char *member, const char *worker, uint32_t moves)
+hash_fraction(const char *member, const char *worker, uint32_t moves)
 {
 	uint64_t hash;
 
@@ -115,16 +118,20 @@
 {
 	double score;
 
-	score = member->power * draw(member->id, route->worker, route->moves);
+	score = member->power *
+	    hash_fraction(member->id, route->worker, route->moves);
 	if (strcmp(member->data_center, data_center) != 0 &&
-	    route->moves < NEAR_MOVES)
-		score *= FAR_SHARE;
+	    route->moves < LOCAL_MOVES)
+		score *= REMOTE_WEIGHT;
 	return score;
 }
 
-/* The best that may be used, kept until a better one may be. */
+/*
+ * Select the member with the highest score among those that may be used.  The
+ * selection is valid until another one may become usable.
+ */
 static void
-choose(struct routes *r, struct route *route, const char *data_center,
+select_member(struct routes *r, struct route *route, const char *data_center,
     int64_t now_ms)
 {
 	const struct route_member *member;
@@ -153,7 +160,7 @@
 }
 
 static bool
-is_kept(const struct routes *r, const struct route *route, int64_t now_ms)
+is_valid(const struct routes *r, const struct route *route, int64_t now_ms)
 {
 	int64_t until_ms;
 
@@ -178,8 +185,8 @@
 		route->moves = 0;
 		route->version = 0;
 	}
-	if (!is_kept(r, route, now_ms))
-		choose(r, route, data_center, now_ms);
+	if (!is_valid(r, route, now_ms))
+		select_member(r, route, data_center, now_ms);
 	return route->member;
 }
 
@@ -188,14 +195,14 @@
 {
 	struct route *route;
 
-	/* Without memory the worker stays with its member. */
+	/* On failure the worker stays with its member. */
 	if ((route = route_get(r, worker)) == NULL)
 		return;
 	route->used_ms = now_ms;
 	route->lost_ms = now_ms;
-	if (++route->lost_row < LOST_ROW)
+	if (++route->lost_in_row < LOST_MAX)
 		return;
-	route->lost_row = 0;
+	route->lost_in_row = 0;
 	route->moves++;
 	route->version = 0;
 }
@@ -206,7 +213,7 @@
 	struct route *route;
 
 	if ((route = route_find(r, worker)) != NULL)
-		route->lost_row = 0;
+		route->lost_in_row = 0;
 }
 
 void
--- a/core/sample.c
+++ b/core/sample.c
@@ -1,16 +1,16 @@
 #include "sample.h"
 
-static size_t common_factor(size_t, size_t);
+static size_t gcd(size_t, size_t);
 
 static size_t
-common_factor(size_t a, size_t b)
+gcd(size_t a, size_t b)
 {
-	size_t rest;
+	size_t remainder;
 
 	while (b != 0) {
-		rest = a % b;
+		remainder = a % b;
 		a = b;
-		b = rest;
+		b = remainder;
 	}
 	return a;
 }
@@ -26,7 +26,7 @@
 		return;
 	s->at = (size_t)(random & UINT32_MAX) % n;
 	s->stride = 1 + (size_t)(random >> 32) % (n - 1);
-	while (common_factor(s->stride, n) != 1)
+	while (gcd(s->stride, n) != 1)
 		s->stride = s->stride + 1 < n ? s->stride + 1 : 1;
 }
 
--- a/core/sample.h
+++ b/core/sample.h
@@ -5,10 +5,10 @@
 #include <stdint.h>
 
 /*
- * A walk over 0..n-1 in scattered order without repeats, from one random
- * number: the start and the stride are drawn, and the stride shares no
- * factor with n.  Neighbours in an array are often in one rack; a walk by
- * ones would sample one rack only.
+ * Iterates over 0..n-1 in scattered order without repeats.  A random number
+ * determines the start and a stride that is coprime to n.  Adjacent elements of
+ * an array are often in the same rack, and a stride of 1 would sample one rack
+ * only.
  */
 struct sample {
 	size_t n;
@@ -17,10 +17,10 @@
 	size_t left;
 };
 
-/* Over the indexes below n. */
+/* Start an iteration over the indexes below n. */
 void sample_start(struct sample *, size_t n, uint64_t random);
 
-/* The next index, or n after all have been given. */
+/* Returns the next index, or n after the last one. */
 size_t sample_next(struct sample *);
 
 #endif /* SAMPLE_H */
--- a/core/shard.c
+++ b/core/shard.c
@@ -41,9 +41,9 @@
 	if (owner->vm_gone)
 		return SHARD_TAKE_GONE;
 	/*
-	 * An entry cut off from the others keeps its registry lease, and one
-	 * whose lease lapsed in an outage of the store still gossips: only
-	 * both together tell of a dead one.
+	 * An entry that is partitioned from its peers keeps its registry lease,
+	 * and one whose lease expired in a store outage still gossips.  Only
+	 * both signs together indicate a dead owner.
 	 */
 	silence_ms = alone ? 2 * opt->silence_ms : opt->silence_ms;
 	if (!owner->registered && owner->silent_ms >= silence_ms)
--- a/core/shard.h
+++ b/core/shard.h
@@ -6,61 +6,60 @@
 #include <stdint.h>
 
 /*
- * Who ought to own a shard, and when another entry may take it.  A wrong
- * answer costs a hand-over, never safety: the store's compare-and-swap and
- * the workers' epochs decide who does own it.
+ * Preferred owners of shards, and takeover of shards.  A wrong decision costs
+ * an unnecessary hand-over, never safety: ownership is enforced by the store's
+ * compare-and-swap and by the epochs that the workers check.
  */
 
 /*
- * The entry that ought to own the shard: the highest rendezvous hash, so
- * that an entry that comes or goes moves only its own shards.  Returns an
- * index into ids, or n when n is 0.
+ * Returns the index into ids of the shard's preferred owner ("home"), or n if n
+ * is 0.  It is the entry with the highest rendezvous hash, so an entry that
+ * joins or leaves moves only its own shards.
  */
 size_t shard_home(const char *shard, const char *const *ids, size_t n);
 
-/* What is known of the entry that the record names as owner. */
+/* State of the owner that is named in the shard's record. */
 struct shard_owner {
-	bool none; /* the record names nobody: new or handed over */
-	bool self; /* it names us, who hold no ledger for it */
-	bool left; /* it announced its leaving */
-	bool vm_gone; /* the VM list says that its VM is gone */
-	bool registered; /* its key in the registry, under a lease, is there */
-	int64_t silent_ms; /* since any gossip of it */
+	bool none; /* no owner: the shard is new or was handed over */
+	bool self; /* this entry, which holds no ledger for it */
+	bool left; /* it announced that it stopped */
+	bool vm_gone; /* its VM is gone according to the VM list */
+	bool registered; /* its registry key (under a lease) exists */
+	int64_t silent_ms; /* since the last gossip of it */
 };
 
 struct shard_options {
-	int64_t silence_ms; /* of gossip, before a peer may be replaced */
-	int64_t settle_ms; /* the home must be the same so long for a move */
+	int64_t silence_ms; /* of gossip, before an owner may be replaced */
+	int64_t settle_ms; /* time without change of the home before a move */
 };
 
 enum shard_verdict {
-	SHARD_NO_TAKEOVER, /* its owner may well live, or we ought not to have
-			    * it
-			    */
+	SHARD_NO_TAKEOVER, /* not the home, or the owner may be alive */
 	SHARD_TAKE_UNOWNED, /* nobody owns it */
-	SHARD_TAKE_BACK, /* we owned it before a restart or a conflict */
-	SHARD_TAKE_LEFT,
-	SHARD_TAKE_GONE,
-	SHARD_TAKE_LAPSED /* silent, and its registry lease has lapsed */
+	SHARD_TAKE_BACK, /* owned by this entry before a restart or conflict */
+	SHARD_TAKE_LEFT, /* the owner announced that it stopped */
+	SHARD_TAKE_GONE, /* the owner's VM is gone */
+	SHARD_TAKE_LAPSED /* it is silent and its registry lease has expired */
 };
 
 /*
- * May we take the shard now?  is_home: shard_home() is us.  alone: no peer
- * answers us at all.  Then we may be the one that is cut off; an owner that
- * lives registers again within the second silence that we wait out.
+ * Whether this entry may take over the shard now.  is_home: it is the shard's
+ * home.  alone: it hears no peer, so it may itself be partitioned; the silence
+ * required is then doubled, and a live owner registers again within that time.
  */
 enum shard_verdict shard_evaluate(const struct shard_options *,
     const struct shard_owner *, bool is_home, bool alone);
 
-/* Whether a shard that we own ought to go to its home, and since when. */
+/* Tracks the home of a shard that this entry owns. */
 struct shard_home_watch {
-	char home[64]; /* "": we are home ourselves */
+	char home[64]; /* "": this entry */
 	int64_t since_ms;
 };
 
 /*
- * Note who is home now.  True: it has been another entry for settle_ms, so
- * hand over; an entry that comes and goes moves nothing.
+ * Record the current home.  Returns true to hand the shard over: the same other
+ * entry has been its home for settle_ms.  The delay keeps an entry that joins
+ * and leaves again from moving shards.
  */
 bool shard_hand_over(const struct shard_options *, struct shard_home_watch *,
     const char *home, const char *self, int64_t now_ms);
--- a/core/share.c
+++ b/core/share.c
@@ -5,23 +5,24 @@
 
 #include "share.h"
 
-#define WORTH_CPU_MILLIS 32000 /* smallest share that is worth a shard */
-#define WORTH_MEMORY_MIB 65536
-#define WORTH_TASKS 4
+/* Smallest share of a shard. */
+#define SHARE_MIN_CPU_MILLIS 32000
+#define SHARE_MIN_MEMORY_MIB 65536
+#define SHARE_MIN_TASKS 4
 
-struct ranked {
+struct ranked_shard {
 	uint64_t score;
 	const char *shard;
 };
 
 static int by_score(const void *, const void *);
-static size_t narrow(int64_t, int64_t, size_t);
-static bool within(int64_t, int64_t, int64_t, size_t);
+static size_t limit_shards(int64_t, int64_t, size_t);
+static bool fits_share(int64_t, int64_t, int64_t, size_t);
 
 static int
 by_score(const void *a, const void *b)
 {
-	const struct ranked *x, *y;
+	const struct ranked_shard *x, *y;
 
 	x = a;
 	y = b;
@@ -30,15 +31,15 @@
 	return strcmp(x->shard, y->shard);
 }
 
-/* At most so many shards that each gets a worthwhile share of the limit. */
+/* Reduce the number of shards so that each share is at least share_min. */
 static size_t
-narrow(int64_t limit, int64_t worth, size_t n)
+limit_shards(int64_t limit, int64_t share_min, size_t n)
 {
 	int64_t shards;
 
 	if (limit == SHARE_UNLIMITED)
 		return n;
-	shards = limit / worth;
+	shards = limit / share_min;
 	if (shards < 1)
 		shards = 1;
 	return (uint64_t)shards < n ? (size_t)shards : n;
@@ -48,7 +49,7 @@
 share_rank_shards(const struct share_limit *limit, const char *team,
     const char **shards, size_t n)
 {
-	struct ranked *ranked;
+	struct ranked_shard *ranked;
 	uint64_t seed;
 	size_t i;
 
@@ -63,13 +64,13 @@
 	for (i = 0; i < n; i++)
 		shards[i] = ranked[i].shard;
 	free(ranked);
-	n = narrow(limit->size.cpu_millis, WORTH_CPU_MILLIS, n);
-	n = narrow(limit->size.memory_mib, WORTH_MEMORY_MIB, n);
-	return narrow(limit->tasks, WORTH_TASKS, n);
+	n = limit_shards(limit->size.cpu_millis, SHARE_MIN_CPU_MILLIS, n);
+	n = limit_shards(limit->size.memory_mib, SHARE_MIN_MEMORY_MIB, n);
+	return limit_shards(limit->tasks, SHARE_MIN_TASKS, n);
 }
 
 static bool
-within(int64_t limit, int64_t use, int64_t more, size_t shares)
+fits_share(int64_t limit, int64_t use, int64_t more, size_t shares)
 {
 	return limit == SHARE_UNLIMITED ||
 	    use + more <= limit / (int64_t)shares;
@@ -79,11 +80,11 @@
 share_allows(const struct share_limit *limit, const struct share_usage *use,
     const struct resources *more, size_t shares)
 {
-	return within(limit->tasks, use->tasks, 1, shares) &&
-	    within(limit->size.cpu_millis, use->size.cpu_millis,
+	return fits_share(limit->tasks, use->tasks, 1, shares) &&
+	    fits_share(limit->size.cpu_millis, use->size.cpu_millis,
 		more->cpu_millis, shares) &&
-	    within(limit->size.memory_mib, use->size.memory_mib,
+	    fits_share(limit->size.memory_mib, use->size.memory_mib,
 		more->memory_mib, shares) &&
-	    within(limit->size.accelerators, use->size.accelerators,
+	    fits_share(limit->size.accelerators, use->size.accelerators,
 		more->accelerators, shares);
 }
