--- a/core/blame.c
+++ b/core/blame.c
@@ -3,24 +3,25 @@
 
 #include "blame.h"
 
-/* The rate is that of about so long. */
-#define SPAN_MS 30000.0
+/* Time constant of the decay of the rate. */
+#define RATE_DECAY_MS 30000.0
 /*
- * Taken as seen before anything was: half a crash in so many milliseconds of
- * one worker.  A fleet that never crashed yet isn't one that never does.
+ * Prior of the rate, added to the observed crashes and time: a fleet without
+ * crashes so far may still have some.
  */
 #define PRIOR_CRASHES 0.5
 #define PRIOR_WORKER_MS 100000.0
-/* Less probable by chance than this: hardly by chance. */
+/* A task is suspect below this probability of its crashes by chance. */
 #define SUSPECT_CHANCE 0.003
 
 /*
- * Surely not by chance, by the number of crashes.  The more there are the
- * fewer tasks get so far, and the less evidence is needed to be wrong about
- * none of them.  One crash alone proves nothing.
+ * Probability by chance below which blame is certain, by the number of crashes.
+ * Fewer tasks see more crashes, so a higher threshold still keeps false
+ * positives out.  A single crash is no evidence.
  */
-static const double guilty_chance[] = { 0, 0, 1e-7, 1e-7, 1e-6, 1e-5 };
-#define GUILTY_MOST (sizeof(guilty_chance) / sizeof(guilty_chance[0]) - 1)
+static const double certain_chance[] = { 0, 0, 1e-7, 1e-7, 1e-6, 1e-5 };
+#define CERTAIN_CRASHES_MAX \
+	(sizeof(certain_chance) / sizeof(certain_chance[0]) - 1)
 
 void
 blame_update_rate(struct blame_rate *rate, uint32_t workers, int64_t now_ms)
@@ -29,7 +30,7 @@
 
 	if (rate->at_ms != 0) {
 		span_ms = (double)(now_ms - rate->at_ms);
-		kept = exp(-span_ms / SPAN_MS);
+		kept = exp(-span_ms / RATE_DECAY_MS);
 		rate->crashes *= kept;
 		rate->worker_ms *= kept;
 		rate->worker_ms += workers * span_ms;
@@ -49,9 +50,9 @@
 	rate->crashes = fmax(rate->crashes - 1, 0);
 }
 
-/* Of so many crashes or more where this many are expected, from above. */
+/* Upper bound of the probability of this many crashes or more (Poisson). */
 static double
-chance_of(uint32_t crashes, double expected)
+chance_bound(uint32_t crashes, double expected)
 {
 	double chance;
 	uint32_t i;
@@ -71,14 +72,14 @@
 
 	if (crashes == 0)
 		return BLAME_NONE;
-	/* Its own would speak for it. */
+	/* Its own crashes would raise the rate that excuses them. */
 	others = fmax(rate->crashes - crashes, 0);
-	/* A rate that has just risen is higher than what was seen of it. */
+	/* A rate that has just risen is underestimated: add one deviation. */
 	others += sqrt(others) + PRIOR_CRASHES;
-	chance = chance_of(crashes,
+	chance = chance_bound(crashes,
 	    others / (rate->worker_ms + PRIOR_WORKER_MS) * (double)exposed_ms);
-	most = crashes < GUILTY_MOST ? crashes : GUILTY_MOST;
-	if (chance < guilty_chance[most])
+	most = crashes < CERTAIN_CRASHES_MAX ? crashes : CERTAIN_CRASHES_MAX;
+	if (chance < certain_chance[most])
 		return BLAME_CERTAIN;
 	return chance < SUSPECT_CHANCE ? BLAME_SUSPECT : BLAME_NONE;
 }
--- a/core/blame.h
+++ b/core/blame.h
@@ -4,35 +4,35 @@
 #include <stdint.h>
 
 /*
- * Whether a task is to blame for the crashes of the workers under it.
+ * Whether a task causes the crashes of the workers that run it.
  *
- * Workers crash now and then whatever runs there, and take all of it along.  A
- * task that ran on them for some time in all sees a number of crashes by
- * chance that follows from their rate in the fleet.  Seen with less time, the
- * crashes are the task's doing.  So a task that lasts for hours isn't blamed
- * for the crashes of a bad day, and one that takes each worker down soon after
- * its start is found after a few.
+ * Workers also crash for other reasons, and all of their tasks are lost with
+ * them.  The crash rate of the fleet gives the number of crashes that a task is
+ * expected to see by chance in its total run time.  If it saw many more, the
+ * task is the likely cause.  A task that runs for hours is thus not blamed for
+ * the crashes of a bad day, and one that crashes each worker soon after its
+ * start is detected after a few crashes.
  */
 
-/* How often workers crash, of late. */
+/* Recent crash rate of workers. */
 struct blame_rate {
 	double crashes;
-	double worker_ms; /* workers times milliseconds watched */
-	int64_t at_ms; /* both are faded to this time; 0: not watched yet */
+	double worker_ms; /* observed time, workers times milliseconds */
+	int64_t at_ms; /* both are decayed to this time; 0: no data yet */
 };
 
 enum blame {
-	BLAME_NONE, /* by chance, as far as one can tell */
-	BLAME_SUSPECT, /* hardly by chance */
-	BLAME_CERTAIN /* surely not by chance */
+	BLAME_NONE, /* consistent with chance */
+	BLAME_SUSPECT, /* improbable by chance */
+	BLAME_CERTAIN /* practically impossible by chance */
 };
 
-/* So many workers are up, since the last call. */
+/* Decay the rate and add the time since the last call for these workers. */
 void blame_update_rate(struct blame_rate *, uint32_t workers, int64_t now_ms);
 void blame_add_crash(struct blame_rate *);
-/* One that was taken for crashed is up after all. */
+/* A worker that was counted as crashed has answered again. */
 void blame_remove_crash(struct blame_rate *);
-/* Of a task that saw so many crashes, having run for so long in all. */
+/* Assess a task by the crashes it saw within its total run time. */
 enum blame blame_assess(
     const struct blame_rate *, uint32_t crashes, int64_t exposed_ms);
 
--- a/core/graph.c
+++ b/core/graph.c
@@ -3,8 +3,8 @@
 
 #include "graph.h"
 
-/* A task larger than this is a mistake; keeps sums of sizes in range. */
-#define SIZE_MAX_UNITS (INT64_C(1) << 40)
+/* Larger sizes are rejected as mistakes; keeps sums of sizes in range. */
+#define TASK_SIZE_MAX (INT64_C(1) << 40)
 
 struct graph *
 graph_new(size_t nsteps)
@@ -37,11 +37,11 @@
 }
 
 static bool
-size_ok(const struct resources *size)
+size_is_valid(const struct resources *size)
 {
-	return size->cpu_millis >= 0 && size->cpu_millis < SIZE_MAX_UNITS &&
-	    size->memory_mib >= 0 && size->memory_mib < SIZE_MAX_UNITS &&
-	    size->accelerators >= 0 && size->accelerators < SIZE_MAX_UNITS;
+	return size->cpu_millis >= 0 && size->cpu_millis < TASK_SIZE_MAX &&
+	    size->memory_mib >= 0 && size->memory_mib < TASK_SIZE_MAX &&
+	    size->accelerators >= 0 && size->accelerators < TASK_SIZE_MAX;
 }
 
 static enum graph_error
@@ -51,7 +51,7 @@
 
 	if (step->count == 0 || step->count > GRAPH_TASKS_MAX)
 		return GRAPH_ERR_COUNT;
-	if (!size_ok(&step->size) || step->estimate_ms < 0)
+	if (!size_is_valid(&step->size) || step->estimate_ms < 0)
 		return GRAPH_ERR_SIZE;
 	for (i = 0; i < step->nafter; i++) {
 		if (step->after[i] >= number)
@@ -91,19 +91,20 @@
 	case GRAPH_OK:
 		return "ok";
 	case GRAPH_ERR_ID:
-		return "the id is empty or too long";
+		return "job id is empty or too long";
 	case GRAPH_ERR_NO_STEPS:
-		return "the job has no steps";
+		return "job has no steps";
 	case GRAPH_ERR_STEPS:
-		return "the job has too many steps";
+		return "job has too many steps";
 	case GRAPH_ERR_COUNT:
-		return "the number of tasks is out of range";
+		return "number of tasks is out of range";
 	case GRAPH_ERR_SIZE:
-		return "the size or run time is out of range";
+		return "task size or run time is out of range";
 	case GRAPH_ERR_AFTER:
-		return "a step may depend only on earlier steps";
+		return "step depends on itself or on a later step";
 	case GRAPH_ERR_REPEATS:
-		return "the repetition is out of range";
+		return "repeat count, interval or first due time is out of "
+		       "range";
 	}
 	return "unknown";
 }
@@ -125,19 +126,19 @@
 int64_t
 graph_critical_path_ms(const struct graph *g)
 {
-	int64_t ends[GRAPH_STEPS_MAX], begin, longest;
+	int64_t ends[GRAPH_STEPS_MAX], start_ms, longest;
 	const struct graph_step *step;
 	size_t i, j;
 
 	longest = 0;
 	for (i = 0; i < g->nsteps; i++) {
 		step = &g->steps[i];
-		begin = 0;
+		start_ms = 0;
 		for (j = 0; j < step->nafter; j++) {
-			if (ends[step->after[j]] > begin)
-				begin = ends[step->after[j]];
+			if (ends[step->after[j]] > start_ms)
+				start_ms = ends[step->after[j]];
 		}
-		ends[i] = begin + step->estimate_ms;
+		ends[i] = start_ms + step->estimate_ms;
 		if (ends[i] > longest)
 			longest = ends[i];
 	}
--- a/core/graph.h
+++ b/core/graph.h
@@ -8,60 +8,60 @@
 #include "room.h"
 
 /*
- * A job of steps: what its owner handed in.  It never changes afterwards.  A
- * step has tasks of equal size that may run once all tasks of the steps it
- * depends on are done.
+ * Specification of a job as submitted: a graph of steps, immutable.  A step has
+ * tasks of equal size that may run once all tasks of the steps it depends on
+ * are done.
  */
 
 #define GRAPH_ID_MAX 65 /* bytes of a job's id, with the NUL */
 #define GRAPH_NAME_MAX 65 /* of a queue, label, rack or image */
-#define GRAPH_STEPS_MAX 256 /* bounds what one request can make us hold */
+#define GRAPH_STEPS_MAX 256 /* bounds the memory that one request can use */
 #define GRAPH_TASKS_MAX 10000 /* tasks of one step, for the same reason */
 #define GRAPH_REPEATS_MAX 100000
 
 struct graph_step {
 	uint32_t count; /* tasks */
 	struct resources size; /* of one task */
-	int64_t estimate_ms; /* of one task, as declared; often far off */
-	uint32_t *after; /* numbers of earlier steps */
+	int64_t estimate_ms; /* declared run time of a task; often far off */
+	uint32_t *after; /* steps it depends on, all of lower number */
 	size_t nafter;
-	bool checkpoints; /* a new run resumes where a former one stopped */
+	bool checkpoints; /* a new run resumes from the last checkpoint */
 	bool gang; /* the tasks work only while all of them run */
 	bool one_rack; /* slower when spread over racks */
-	bool copies; /* copies may run side by side, the first counts */
+	bool copies; /* speculative runs allowed, the first end counts */
 	bool lasts; /* runs until cancelled, restarted however it ends */
-	bool filler; /* takes the processors that others leave unused */
-	uint32_t per_worker; /* tasks on one worker at most; 0: any number */
-	uint32_t may_be_away; /* tasks that we may take off work at once */
-	int64_t tail_target_ms; /* of a serving task's own users; 0: none */
+	bool filler; /* uses processors that other tasks leave idle */
+	uint32_t per_worker; /* maximum of tasks on one worker; 0: none */
+	uint32_t may_be_away; /* maximum of tasks unavailable for moves */
+	int64_t tail_target_ms; /* tail latency of a serving task; 0: none */
 	char label[GRAPH_NAME_MAX]; /* the worker must have it; "": any */
 	char rack[GRAPH_NAME_MAX]; /* where its data is; "": anywhere */
 	char image[GRAPH_NAME_MAX]; /* tasks of one image behave alike */
 };
 
 /*
- * What the job's queue asked for when the job was taken.  The operators'
- * configuration goes before it, but may name the queue no more.
+ * Terms of the job's queue when the job was accepted.  The operators' current
+ * configuration takes precedence, but may no longer have the queue.
  */
 struct queue_terms {
 	char service[GRAPH_NAME_MAX]; /* the workers that run its tasks */
-	uint32_t priority; /* 0 goes first */
+	uint32_t priority; /* 0 is the highest */
 	uint32_t max_attempts; /* failures of a task that fail its job */
-	double stretch; /* objective: so many times the longest chain, */
-	int64_t target_ms; /* and so much more */
+	double stretch; /* objective: this times the critical path, */
+	int64_t target_ms; /* plus this */
 };
 
 struct graph {
 	char id[GRAPH_ID_MAX];
 	char queue[GRAPH_NAME_MAX];
 	struct queue_terms terms;
-	char *payload; /* handed to each task as it is */
+	char *payload; /* passed to each task unchanged */
 	struct graph_step *steps;
 	size_t nsteps;
 	uint32_t repeats; /* occurrences; 0: one, due at once */
 	int64_t first_due_ms; /* since 1970, with repeats */
 	int64_t every_ms; /* between occurrences */
-	int64_t submitted_ms; /* since 1970, when an entry took it */
+	int64_t submitted_ms; /* since 1970, when an entry accepted it */
 };
 
 /* A task of a job: occurrence, step and index within the step. */
@@ -83,22 +83,22 @@
 	GRAPH_ERR_REPEATS
 };
 
-/* NULL without memory; the steps are zeroed. */
+/* The steps are zeroed; NULL: no memory. */
 struct graph *graph_new(size_t nsteps);
 void graph_free(struct graph *);
-/* What is wrong with the job first, and in which step. */
+/* Return the first error in the job and set the step that has it. */
 enum graph_error graph_check(const struct graph *, size_t *step);
 const char *graph_strerror(enum graph_error);
 
-/* Occurrences, at least one. */
+/* Number of occurrences, at least one. */
 uint32_t graph_occurrences(const struct graph *);
-/* When an occurrence is due, since 1970; 0: at once. */
+/* Due time of an occurrence, since 1970; 0: at once. */
 int64_t graph_due_ms(const struct graph *, uint32_t occurrence);
-/* The longest chain of declared run times, in milliseconds. */
+/* Length of the critical path by declared run times. */
 int64_t graph_critical_path_ms(const struct graph *);
-/* Processor-milliseconds of one occurrence as declared. */
+/* Declared processor-milliseconds of one occurrence. */
 int64_t graph_work(const struct graph *);
-/* Whether the job ends only by being cancelled. */
+/* Whether the job runs until it is cancelled. */
 bool graph_lasts(const struct graph *);
 
 #endif /* GRAPH_H */
--- a/core/interference.c
+++ b/core/interference.c
@@ -6,61 +6,61 @@
 #include "interference.h"
 
 /*
- * The shortest tail as a share of the target, before any was seen; and as a
- * share of the short ones seen, since the load is never 0.
+ * The shortest tail as a share of the target, while none was seen, and as a
+ * share of the short tails seen, since the load is never 0 when one is seen.
  */
 #define SHORTEST_OF_TARGET 0.2
 #define SHORTEST_OF_SEEN 0.8
 #define SHORTEST_MAX_OF_TARGET 0.5
 /*
- * Listed tails are rough: so many of them are shorter than the short ones
- * truly are.  The least ever seen is far too short, and effects that are
- * reckoned from it come out too small.
+ * Quantile of the tails that is taken as the short ones.  Listed tails are
+ * noisy: the minimum would be far too short, and the effects computed from it
+ * too small.
  */
-#define SHORTEST_SHARE 0.03
-/* The estimate moves by this share of itself with each tail. */
+#define SHORTEST_QUANTILE 0.03
+/* Relative step of the quantile estimate with each tail. */
 #define SHORTEST_STEP 0.01
-/* A tail of over 25 times the shortest says no more than that it is long. */
+/* Loads are capped here: a tail over 25 times the shortest is merely long. */
 #define LOAD_MAX 0.96
 /*
- * Of a load nothing is known of.  Loads of 0.2 to 0.7 were seen over 14 s, at
- * most 0.1 of change in a second.
+ * Prior and bounds of the load.  Recorded loads ranged from 0.2 to 0.7 within
+ * 14 s and changed by at most 0.1 in a second.
  */
-#define LOAD_FIRST 0.45
-#define LOAD_FIRST_VARIANCE (0.15 * 0.15)
+#define LOAD_PRIOR 0.45
+#define LOAD_PRIOR_VARIANCE (0.15 * 0.15)
 #define LOAD_DRIFT_VARIANCE_PER_S 0.0032
 #define LOAD_VARIANCE_MAX (0.2 * 0.2)
 #define LOAD_LOW 0.15
 #define LOAD_HIGH 0.75
-/* Listed tails are off by this share of them, one standard deviation, */
+/* Relative standard deviation of listed tails. */
 #define TAIL_ERROR 0.07
-/* and what they say of the load by no less than this. */
+/* Minimum standard deviation of the load computed from a tail. */
 #define LOAD_ERROR 0.015
 /*
- * Of a pair nothing is known of.  Effects of 0 to 0.8 for pairs that bear each
- * other and of 1.5 to 4 for others were learnt on three recorded runs.
+ * Prior of a pair's effect.  Three recorded runs showed effects of 0 to 0.8 for
+ * compatible pairs and of 1.5 to 4 for others.
  */
-#define EFFECT_FIRST 1.0
-#define EFFECT_FIRST_VARIANCE 4.0
+#define EFFECT_PRIOR 1.0
+#define EFFECT_PRIOR_VARIANCE 4.0
 #define EFFECT_DRIFT_VARIANCE 0.0005 /* with each tail */
 #define EFFECT_MAX 12.0
-/* No correction makes a variance less than so much of what it was. */
+/* A correction leaves at least this share of a variance. */
 #define SHRINK_MIN 0.05
-/* Effects less sure than this aren't worth handing on, */
-#define TELL_VARIANCE 1.0
-/* and the next leader takes them for so sure. */
-#define TOLD_VARIANCE 0.25
+/* Effects with a larger variance aren't passed to the next leader. */
+#define EXPORT_VARIANCE_MAX 1.0
+/* Variance that the next leader assumes for the effects it receives. */
+#define IMPORT_VARIANCE 0.25
 
 struct pair {
-	bool known; /* else mean and variance are those of any pair */
+	bool known; /* else mean and variance are the prior's */
 	double mean;
 	double variance;
 };
 
 struct interference {
 	char names[INTERFERENCE_IMAGES_MAX][GRAPH_NAME_MAX];
-	double shortest_ms[INTERFERENCE_IMAGES_MAX]; /* tail without load; 0:
-							unknown */
+	/* Tail without load; 0: unknown. */
+	double shortest_ms[INTERFERENCE_IMAGES_MAX];
 	int n;
 	struct pair pairs[INTERFERENCE_IMAGES_MAX][INTERFERENCE_IMAGES_MAX];
 };
@@ -92,17 +92,17 @@
 	return p->n++;
 }
 
-/* The pair to be corrected. */
+/* Return the pair for an update, set to the prior if it isn't known. */
 static struct pair *
-pair_of(struct interference *p, int serving, int filler)
+get_pair(struct interference *p, int serving, int filler)
 {
 	struct pair *pair;
 
 	pair = &p->pairs[serving][filler];
 	if (!pair->known) {
 		pair->known = true;
-		pair->mean = EFFECT_FIRST;
-		pair->variance = EFFECT_FIRST_VARIANCE;
+		pair->mean = EFFECT_PRIOR;
+		pair->variance = EFFECT_PRIOR_VARIANCE;
 	}
 	return pair;
 }
@@ -113,13 +113,13 @@
 	const struct pair *pair;
 
 	if (serving == IMAGE_NONE || filler == IMAGE_NONE)
-		return EFFECT_FIRST;
+		return EFFECT_PRIOR;
 	pair = &p->pairs[serving][filler];
-	return pair->known ? pair->mean : EFFECT_FIRST;
+	return pair->known ? pair->mean : EFFECT_PRIOR;
 }
 
 static double
-within(double value, double low, double high)
+clamp(double value, double low, double high)
 {
 	if (value < low)
 		return low;
@@ -131,13 +131,13 @@
 {
 	if (serving == IMAGE_NONE || p->shortest_ms[serving] <= 0)
 		return SHORTEST_OF_TARGET * target_ms;
-	return within(
+	return clamp(
 	    p->shortest_ms[serving], 0, SHORTEST_MAX_OF_TARGET * target_ms);
 }
 
-/* Follow the length that a small share of the tails is below. */
+/* Stochastic estimate of the quantile SHORTEST_QUANTILE of the tails. */
 static void
-see_shortest(
+update_shortest(
     struct interference *p, int serving, double tail_ms, double target_ms)
 {
 	double *seen_ms, base_ms;
@@ -147,9 +147,9 @@
 	if (*seen_ms <= 0)
 		*seen_ms = SHORTEST_OF_TARGET * target_ms;
 	if (base_ms < *seen_ms)
-		*seen_ms -= SHORTEST_STEP * (1 - SHORTEST_SHARE) * *seen_ms;
+		*seen_ms -= SHORTEST_STEP * (1 - SHORTEST_QUANTILE) * *seen_ms;
 	else
-		*seen_ms += SHORTEST_STEP * SHORTEST_SHARE * *seen_ms;
+		*seen_ms += SHORTEST_STEP * SHORTEST_QUANTILE * *seen_ms;
 }
 
 double
@@ -162,18 +162,18 @@
 double
 load_estimate_value(const struct load_estimate *load)
 {
-	return load->at_ms == 0 ? LOAD_FIRST : load->load;
+	return load->at_ms == 0 ? LOAD_PRIOR : load->load;
 }
 
-/* What may have changed since the last tail. */
+/* Grow the variance by what may have changed since the last tail. */
 static void
 drift(struct load_estimate *load, int64_t now_ms)
 {
 	double seconds;
 
 	if (load->at_ms == 0) {
-		load->load = LOAD_FIRST;
-		load->variance = LOAD_FIRST_VARIANCE;
+		load->load = LOAD_PRIOR;
+		load->variance = LOAD_PRIOR_VARIANCE;
 	} else {
 		seconds = (double)(now_ms - load->at_ms) / 1000;
 		load->variance += LOAD_DRIFT_VARIANCE_PER_S * seconds;
@@ -183,21 +183,21 @@
 	load->at_ms = now_ms;
 }
 
-/* Of what a tail says of the load: tails are rough in proportion. */
+/* Variance of a load computed from a tail, whose error is proportional. */
 static double
 tail_variance(double load)
 {
-	double rough;
+	double deviation;
 
-	rough = TAIL_ERROR * (1 - load);
-	return rough * rough + LOAD_ERROR * LOAD_ERROR;
+	deviation = TAIL_ERROR * (1 - load);
+	return deviation * deviation + LOAD_ERROR * LOAD_ERROR;
 }
 
-/* A variance after a correction that used this share of it. */
+/* The variance after a correction that explains this share of it. */
 static double
 shrink(double variance, double used)
 {
-	return variance * within(1 - used, SHRINK_MIN, 1);
+	return variance * clamp(1 - used, SHRINK_MIN, 1);
 }
 
 static void
@@ -211,10 +211,10 @@
 	for (i = 0; i < n; i++) {
 		if (usages[i].filler == IMAGE_NONE)
 			continue;
-		pair = pair_of(p, serving, usages[i].filler);
+		pair = get_pair(p, serving, usages[i].filler);
 		slope = load * usages[i].share;
 		gain = pair->variance * slope / sum;
-		pair->mean = within(pair->mean + gain * error, 0, EFFECT_MAX);
+		pair->mean = clamp(pair->mean + gain * error, 0, EFFECT_MAX);
 		pair->variance = shrink(pair->variance, gain * slope) +
 		    EFFECT_DRIFT_VARIANCE;
 	}
@@ -230,9 +230,9 @@
 
 	if (serving == IMAGE_NONE || tail_ms <= 0)
 		return;
-	see_shortest(p, serving, tail_ms, target_ms);
+	update_shortest(p, serving, tail_ms, target_ms);
 	base_ms = shortest(p, serving, target_ms);
-	seen = within(1 - base_ms / tail_ms, 0, LOAD_MAX);
+	seen = clamp(1 - base_ms / tail_ms, 0, LOAD_MAX);
 	drift(load, now_ms);
 	before = load->load;
 	factor = 1;
@@ -243,20 +243,20 @@
 		    usages[i].share;
 		if (usages[i].filler != IMAGE_NONE)
 			sum += slope * slope *
-			    pair_of(p, serving, usages[i].filler)->variance;
+			    get_pair(p, serving, usages[i].filler)->variance;
 	}
 	sum += load->variance * factor * factor;
-	expected = within(before * factor, 0, LOAD_MAX);
+	expected = clamp(before * factor, 0, LOAD_MAX);
 	error = seen - expected;
 	gain = load->variance * factor / sum;
-	load->load = within(before + gain * error, LOAD_LOW, LOAD_HIGH);
+	load->load = clamp(before + gain * error, LOAD_LOW, LOAD_HIGH);
 	load->variance = shrink(load->variance, gain * factor);
 	correct_effects(p, serving, before, usages, n, error, sum);
 }
 
 void
 interference_foreach(
-    const struct interference *p, interference_pair_cb *tell, void *ctx)
+    const struct interference *p, interference_pair_cb *cb, void *ctx)
 {
 	const struct pair *pair;
 	int i, j;
@@ -264,8 +264,9 @@
 	for (i = 0; i < p->n; i++) {
 		for (j = 0; j < p->n; j++) {
 			pair = &p->pairs[i][j];
-			if (pair->known && pair->variance <= TELL_VARIANCE)
-				tell(p->names[i], p->names[j], pair->mean, ctx);
+			if (pair->known &&
+			    pair->variance <= EXPORT_VARIANCE_MAX)
+				cb(p->names[i], p->names[j], pair->mean, ctx);
 		}
 	}
 }
@@ -281,7 +282,7 @@
 	j = interference_image(p, filler);
 	if (i == IMAGE_NONE || j == IMAGE_NONE || !isfinite(effect))
 		return;
-	pair = pair_of(p, i, j);
-	pair->mean = within(effect, 0, EFFECT_MAX);
-	pair->variance = TOLD_VARIANCE;
+	pair = get_pair(p, i, j);
+	pair->mean = clamp(effect, 0, EFFECT_MAX);
+	pair->variance = IMPORT_VARIANCE;
 }
--- a/core/interference.h
+++ b/core/interference.h
@@ -6,16 +6,16 @@
 #include <stdint.h>
 
 /*
- * How much fillers of each image disturb serving tasks of each image, learnt
- * from the tails that workers list.
+ * Model of the interference between fillers and serving tasks, learnt from the
+ * tail latencies that workers list.
  *
  * The tail of a serving task grows with its load as in a queue: it is the
- * image's shortest tail over 1 - load.  Fillers beside it raise the load by a
- * factor: 1 + the sum over fillers of their effect times the share of the
- * worker's processors that they use.  The load swings within seconds and is
- * estimated for each step; the effects stay, and are learnt for each pair of
- * images.  A tail that isn't as predicted corrects load and effects in
- * proportion to what is not yet known of them.
+ * shortest tail of the image divided by 1 - load.  Fillers on the same worker
+ * multiply the load by 1 + the sum over the fillers of their effect times the
+ * share of the worker's processors that they use.  The load changes within
+ * seconds and is estimated per step; the effects are constant and are learnt
+ * per pair of images.  The error of a predicted tail corrects load and effects
+ * in proportion to their variances, as a Kalman filter does.
  */
 
 #define INTERFERENCE_IMAGES_MAX 128
@@ -24,10 +24,10 @@
 struct interference;
 
 /*
- * The load of a step's serving tasks without fillers; zeroed: nothing is known.
- * They serve the same users, so that their loads rise and fall together: the
- * tails of all of them, wherever they run, correct one estimate.  Of six tasks
- * listed each quarter of a second that is 24 tails a second for one load.
+ * Estimated load of a step's serving tasks without fillers; zeroed: nothing is
+ * known.  The tasks serve the same users, so their loads rise and fall
+ * together, and the tails of all of them correct one estimate.  Six tasks
+ * listed each quarter of a second give it 24 tails a second.
  */
 struct load_estimate {
 	double load; /* 0 to 1 */
@@ -35,9 +35,9 @@
 	int64_t at_ms; /* when it was last corrected; 0: never */
 };
 
-/* What fillers of an image use beside it. */
+/* Use of a worker by fillers of one image. */
 struct filler_usage {
-	int filler;
+	int filler; /* image */
 	double share; /* of the worker's processors */
 };
 
@@ -45,23 +45,23 @@
 struct interference *interference_new(void);
 void interference_free(struct interference *);
 
-/* The number of an image, made when first seen; IMAGE_NONE: none is free. */
+/* Return the number of an image, adding it if new; IMAGE_NONE: table full. */
 int interference_image(struct interference *, const char *name);
 
-/* The tail of one of the step's tasks, and what was beside it meanwhile. */
+/* Learn from the tail of a task and the usage by fillers on its worker. */
 void interference_update(struct interference *, int serving,
     struct load_estimate *, const struct filler_usage *, size_t n,
     double tail_ms, double target_ms, int64_t now_ms);
-/* The load to reckon with, also before anything was learnt. */
+/* The estimated load, or its prior before anything was learnt. */
 double load_estimate_value(const struct load_estimate *);
-/* Rise of the load by a filler that uses all of the worker's processors. */
+/* Relative rise of load by a filler that uses all processors of the worker. */
 double interference_effect(
     const struct interference *, int serving, int filler);
-/* The load, fillers' part included, at which the tail reaches the target. */
+/* The load, including that of fillers, at which the tail meets the target. */
 double interference_load_limit(
     const struct interference *, int serving, double target_ms);
 
-/* Effects that are known, to hand them to a next leader. */
+/* Report the known effects, to be passed to the next leader. */
 typedef void interference_pair_cb(
     const char *serving, const char *filler, double effect, void *ctx);
 void interference_foreach(
--- a/core/room.c
+++ b/core/room.c
@@ -104,10 +104,10 @@
 {
 	static const char *const texts[] = {
 		[ROOM_OK] = "ok",
-		[ROOM_ERR_FULL] = "no room now",
-		[ROOM_ERR_TOO_LARGE] = "larger than the VM",
+		[ROOM_ERR_FULL] = "no capacity left",
+		[ROOM_ERR_TOO_LARGE] = "larger than the capacity of the VM",
 		[ROOM_ERR_RANGE] = "amount out of range",
-		[ROOM_ERR_NOT_HELD] = "more given back than reserved",
+		[ROOM_ERR_NOT_HELD] = "more released than reserved",
 	};
 
 	return texts[error];
--- a/core/sched_leave.c
+++ b/core/sched_leave.c
@@ -1,28 +1,29 @@
 #include "sched_int.h"
 
 /*
- * Tasks that last on workers that leave.  A worker says so some seconds ahead
- * and ends what runs there when it goes.  Left there, a task would be away
- * until its lease has surely lapsed, 5.3 s and more; stopped and started
- * elsewhere while the worker still answers, it is away for the stop and its
- * startup.  Where 48 workers were replaced one each 0.7 s while the entries
- * were restarted each 2 s, four plays of 80 s, this raised what was served of
- * the worst seconds from 0.78-0.83 to 0.85-0.95.
+ * Moves long-running tasks off draining workers.  A worker announces its
+ * departure some seconds ahead and ends its tasks when it leaves.  A task that
+ * stays is unavailable until its lease has certainly expired, 5.3 s and more; a
+ * task that is stopped and restarted elsewhere while the worker still answers
+ * is unavailable for the stop and its startup only.  With 48 workers replaced
+ * one each 0.7 s and the entries restarted each 2 s, in four runs of 80 s, this
+ * raised the share served in the worst seconds from 0.78-0.83 to
+ * 0.85-0.95.
  */
 
-/* With less time left all of its tasks move, however many are away then. */
-#define HURRY_MS 2000
+/* With less time left, tasks move even beyond may_be_away of their step. */
+#define URGENT_MS 2000
 /*
- * Stops under way and wanted may claim this share of the free processors,
- * which lie in pieces: a task stopped without a place to go to would be away
- * longer than one that stays until the end.
+ * Share of the free processors that moved tasks may need in total.  The free
+ * processors are fragmented, and a task that is stopped without a worker to
+ * start on is unavailable for longer than one that stays.
  */
 #define FREE_SHARE 0.5
-/* Moves begun in one pass, each of which looks at all workers. */
+/* Moves started in one pass; each examines all workers. */
 #define MOVES_MAX 4
-#define PASS_EVERY_MS 50
+#define PASS_INTERVAL_MS 50
 
-struct leaving {
+struct drain_pass {
 	struct sched *s;
 	int64_t now_ms;
 	int64_t free_cpu; /* of usable workers, in thousandths */
@@ -38,14 +39,14 @@
 }
 
 static bool
-is_leaving(const struct sched_worker *worker)
+is_draining(const struct sched_worker *worker)
 {
 	return worker->draining && worker->listed && worker->fenced &&
 	    worker->misses == 0;
 }
 
 static bool
-at_work(const struct sched_task *task)
+is_available(const struct sched_task *task)
 {
 	const struct sched_run *run;
 
@@ -57,82 +58,83 @@
 	return false;
 }
 
-/* As many of the step are away as may be at a time. */
+/* Whether no further task of the step may become unavailable. */
 static bool
-is_thin(const struct sched_step *step)
+at_unavailable_limit(const struct sched_step *step)
 {
-	uint32_t away, i;
+	uint32_t unavailable, i;
 
-	away = 0;
+	unavailable = 0;
 	for (i = 0; i < step->spec->count; i++) {
-		if (!at_work(&step->tasks[i]))
-			away++;
+		if (!is_available(&step->tasks[i]))
+			unavailable++;
 	}
-	return away > 0 && away >= step->spec->may_be_away;
+	return unavailable > 0 && unavailable >= step->spec->may_be_away;
 }
 
 static void
-measure(struct leaving *l)
+measure(struct drain_pass *p)
 {
 	struct sched_worker *worker;
 	const struct sched_run *run;
 	const struct room *room;
 
-	RB_FOREACH (worker, sched_worker_tree, &l->s->workers) {
+	RB_FOREACH (worker, sched_worker_tree, &p->s->workers) {
 		room = &worker->room;
-		if (worker_usable(worker, l->now_ms) &&
+		if (worker_usable(worker, p->now_ms) &&
 		    room->capacity.cpu_millis > room->used.cpu_millis)
-			l->free_cpu +=
+			p->free_cpu +=
 			    room->capacity.cpu_millis - room->used.cpu_millis;
 		TAILQ_FOREACH (run, &worker->runs, by_worker) {
 			if (run->task->step->spec->lasts && run->stop_wanted)
-				l->moving_cpu +=
+				p->moving_cpu +=
 				    run->task->step->spec->size.cpu_millis;
 		}
 	}
 }
 
-/* Now, and there is a place to go to. */
+/* Whether the run should move now: the step allows it and a worker is free. */
 static bool
-should_move(struct leaving *l, const struct sched_run *run, bool hurry)
+should_move(struct drain_pass *p, const struct sched_run *run, bool urgent)
 {
-	int64_t claimed;
+	int64_t needed;
 
-	if (!can_move(run) || (!hurry && is_thin(run->task->step)))
+	if (!can_move(run) ||
+	    (!urgent && at_unavailable_limit(run->task->step)))
 		return false;
-	claimed = l->moving_cpu + run->task->step->spec->size.cpu_millis;
-	return (double)claimed <= FREE_SHARE * (double)l->free_cpu &&
-	    place_has_room(l->s, run->task, l->now_ms);
+	needed = p->moving_cpu + run->task->step->spec->size.cpu_millis;
+	return (double)needed <= FREE_SHARE * (double)p->free_cpu &&
+	    place_has_room(p->s, run->task, p->now_ms);
 }
 
 static void
-move_from(struct leaving *l, struct sched_worker *worker)
+move_runs(struct drain_pass *p, struct sched_worker *worker)
 {
 	struct sched_run *run;
-	bool hurry;
+	bool urgent;
 
-	hurry =
-	    worker->leaves_ms != 0 && worker->leaves_ms - l->now_ms < HURRY_MS;
+	urgent =
+	    worker->leaves_ms != 0 && worker->leaves_ms - p->now_ms < URGENT_MS;
 	TAILQ_FOREACH (run, &worker->runs, by_worker) {
-		if (l->moves == MOVES_MAX)
+		if (p->moves == MOVES_MAX)
 			return;
-		if (!should_move(l, run, hurry))
+		if (!should_move(p, run, urgent))
 			continue;
-		run_want_stop(l->s, run);
-		l->s->counts.moves++;
-		l->moving_cpu += run->task->step->spec->size.cpu_millis;
-		l->moves++;
+		run_want_stop(p->s, run);
+		p->s->counts.moves++;
+		p->moving_cpu += run->task->step->spec->size.cpu_millis;
+		p->moves++;
 	}
 }
 
 static bool
-anything_to_move(struct sched *s)
+has_movable_runs(struct sched *s)
 {
 	struct sched_worker *worker;
 	const struct sched_run *run;
 
 	RB_FOREACH (worker, sched_worker_tree, &s->workers) {
-		if (!is_leaving(worker))
+		if (!is_draining(worker))
 			continue;
 		TAILQ_FOREACH (run, &worker->runs, by_worker) {
 			if (can_move(run))
@@ -146,17 +148,17 @@
 drain_move_tasks(struct sched *s, int64_t now_ms)
 {
 	struct sched_worker *worker;
-	struct leaving l = { s, now_ms, 0, 0, 0 };
+	struct drain_pass p = { s, now_ms, 0, 0, 0 };
 
 	if (s->frozen || now_ms < s->drain_pass_ms)
 		return;
-	s->drain_pass_ms = now_ms + PASS_EVERY_MS;
-	if (!anything_to_move(s))
+	s->drain_pass_ms = now_ms + PASS_INTERVAL_MS;
+	if (!has_movable_runs(s))
 		return;
 	sched_due(s, s->drain_pass_ms);
-	measure(&l);
+	measure(&p);
 	RB_FOREACH (worker, sched_worker_tree, &s->workers) {
-		if (is_leaving(worker))
-			move_from(&l, worker);
+		if (is_draining(worker))
+			move_runs(&p, worker);
 	}
 }
--- a/core/sched_loss.c
+++ b/core/sched_loss.c
@@ -4,53 +4,52 @@
 #include "sched_int.h"
 
 /*
- * Tasks that went down with their workers, and those to blame for it.
+ * Tasks lost with their workers, and the blame for the crashes.
  *
  * A task that crashes each worker that starts it reports no failure: it would
- * be started for ever, and all that runs beside it would go down each time.  A
- * suspect starts alone, where the least is lost; one that is found guilty is
- * given up with its job.
- * Until the crash of its worker is sure (sched_crash.c) a loss may hold a task
- * back for a while, and ends no job.
+ * be restarted forever, and all other tasks of the worker would be lost each
+ * time.  A suspect task is started where the fewest runs would be lost, and
+ * isolated for a while.  If the blame is certain, its job fails.  Before the
+ * crash of the worker is confirmed (sched_crash.c), a loss may delay a task,
+ * but fails no job.
  */
 
-/* A run that went down sooner may have: answers take their time. */
+/* Lower bound of the run time of a lost run: an answer takes about as long. */
 #define LOSS_MIN_MS 50
-/* Kept of each task, the latest. */
+/* Losses kept per task, the latest. */
 #define LOSSES_MAX 8
 /*
- * A job is given up only after so many crashes while the task surely ran, or
- * so many that came with its starts.
+ * A job fails only after this many confirmed crashes while the task was known
+ * to run, or this many confirmed crashes at all.
  */
-#define SURE_MIN 2
-#define CRASHED_MIN 4
+#define RUNNING_CRASHES_MIN 2
+#define CRASHES_MIN 4
 /*
- * A task that went down so often in a row, each time so soon after its order,
- * is given up whatever the rate of crashes: it may be the reason for the rate.
+ * This many consecutive losses, each this soon after the start was sent, make
+ * the blame certain at any crash rate: the task may be the cause of the rate.
  */
-#define ROW_MOST 4
-#define ROW_SOON_MS 3000
-/* The next start waits so long for the proof of the last crash. */
-#define HOLD_MS 2000
-/* A suspect stays alone for twice the time after which it went down. */
-#define ALONE_MIN_MS 300
-#define ALONE_MAX_MS 2000
-
-/* It may be one of a row. */
+#define SOON_LOSSES 4
+#define SOON_MS 3000
+/* Delay of the next start, for the last crash to be confirmed or saved. */
+#define RETRY_DELAY_MS 2000
+/* Bounds of the isolation of a suspect, twice the longest time to a loss. */
+#define ISOLATION_MIN_MS 300
+#define ISOLATION_MAX_MS 2000
+
 static bool
 is_soon(const struct task_loss *loss)
 {
-	return loss->ran_ms <= ROW_SOON_MS;
+	return loss->ran_ms <= SOON_MS;
 }
 
 static bool
-is_row(const struct sched_task *task)
+is_repeated_soon(const struct sched_task *task)
 {
 	uint32_t i;
 
-	if (task->nlosses < ROW_MOST)
+	if (task->nlosses < SOON_LOSSES)
 		return false;
-	for (i = task->nlosses - ROW_MOST; i < task->nlosses; i++) {
+	for (i = task->nlosses - SOON_LOSSES; i < task->nlosses; i++) {
 		if (!is_soon(&task->losses[i]))
 			return false;
 	}
@@ -60,14 +59,14 @@
 static enum blame
 blame_of(const struct sched *s, const struct sched_task *task)
 {
-	if (is_row(task))
+	if (is_repeated_soon(task))
 		return BLAME_CERTAIN;
 	return blame_assess(
 	    &s->crash_rate, task->nlosses, task->losses_ms + task->survived_ms);
 }
 
 static uint32_t
-count_sure(const struct sched_task *task)
+count_running_crashes(const struct sched_task *task)
 {
 	uint32_t i, n;
 
@@ -80,7 +79,7 @@
 }
 
 static uint32_t
-count_crashed(const struct sched_task *task)
+count_crashes(const struct sched_task *task)
 {
 	uint32_t i, n;
 
@@ -93,10 +92,10 @@
 }
 
 static bool
-is_proved(const struct sched_task *task)
+is_confirmed(const struct sched_task *task)
 {
-	return count_sure(task) >= SURE_MIN ||
-	    count_crashed(task) >= CRASHED_MIN;
+	return count_running_crashes(task) >= RUNNING_CRASHES_MIN ||
+	    count_crashes(task) >= CRASHES_MIN;
 }
 
 static struct task_loss *
@@ -111,7 +110,7 @@
 	return NULL;
 }
 
-/* What is forgotten of a loss speaks for the task from then on. */
+/* The run time of a removed loss counts as survived. */
 static void
 remove_loss(struct sched_task *task, struct task_loss *loss)
 {
@@ -133,7 +132,7 @@
 	if (task->nlosses == LOSSES_MAX)
 		remove_loss(task, &task->losses[0]);
 	losses = reallocarray(task->losses, task->nlosses + 1, sizeof(*losses));
-	/* Without memory it goes uncounted, as with a leader that ended. */
+	/* Without memory it isn't counted, as after a change of leaders. */
 	if (losses == NULL)
 		return;
 	task->losses = losses;
@@ -153,7 +152,7 @@
 	lost.cause = cause;
 	lost.ran_ms = loss->ran_ms;
 	lost.crashes = task->nlosses;
-	lost.sure = count_sure(task);
+	lost.sure = count_running_crashes(task);
 	lost.blame = blame_of(s, task);
 	s->opt.actions->lost(s, &lost, s->opt.ctx);
 }
@@ -164,29 +163,29 @@
 	return task->state != SCHED_DONE && !task_job(task)->in_ended;
 }
 
-/* What is known of its losses has changed. */
+/* Fail or save the job after a change of the task's losses. */
 static void
-judge(struct sched *s, struct sched_task *task, const struct task_loss *loss,
+evaluate(struct sched *s, struct sched_task *task, const struct task_loss *loss,
     int64_t now_ms)
 {
 	enum blame blame;
 
 	blame = blame_of(s, task);
-	if (blame == BLAME_CERTAIN && is_proved(task)) {
+	if (blame == BLAME_CERTAIN && is_confirmed(task)) {
 		s->counts.given_up++;
 		job_fail(s, task_job(task), now_ms);
 		return;
 	}
-	/* A long run that speaks for nothing isn't worth a write. */
+	/* The loss of a long run without blame isn't worth a write. */
 	if (blame != BLAME_NONE || is_soon(loss)) {
 		job_mark_dirty(s, task_job(task));
 		task->losses_change = task_job(task)->change;
 	}
 }
 
-/* At most so long after it was ordered. */
+/* Maximum time from the start being sent to the loss. */
 static int64_t
-lost_after(const struct sched_run *run, int64_t now_ms)
+time_to_loss(const struct sched_run *run, int64_t now_ms)
 {
 	const struct sched_worker *worker;
 	int64_t over_ms;
@@ -207,16 +206,16 @@
 	if (!is_open(run->task))
 		return;
 	loss.attempt = run->attempt;
-	loss.ran_ms = lost_after(run, now_ms);
+	loss.ran_ms = time_to_loss(run, now_ms);
 	loss.crashed = cause != LOSS_LAPSED;
 	loss.begun = run->begun_ms != 0;
-	/* How long a former leader's start ran there isn't known. */
+	/* The run time of one that a former leader started isn't known. */
 	counts = !run->adopted && !run->worker->draining;
 	if (counts)
 		add_loss(run->task, &loss);
 	report(s, run->task, &loss, run->worker->id, cause);
 	if (counts)
-		judge(s, run->task, &loss, now_ms);
+		evaluate(s, run->task, &loss, now_ms);
 }
 
 void
@@ -235,7 +234,7 @@
 	if (cause == LOSS_REFUTED)
 		remove_loss(task, loss);
 	report(s, task, &copy, worker, cause);
-	judge(s, task, &copy, now_ms);
+	evaluate(s, task, &copy, now_ms);
 }
 
 void
@@ -266,35 +265,37 @@
 int64_t
 loss_isolation_ms(const struct sched_task *task)
 {
-	int64_t alone_ms;
+	int64_t isolation_ms;
 	uint32_t i;
 
-	alone_ms = ALONE_MIN_MS;
+	isolation_ms = ISOLATION_MIN_MS;
 	for (i = 0; i < task->nlosses; i++) {
-		if (alone_ms < 2 * task->losses[i].ran_ms)
-			alone_ms = 2 * task->losses[i].ran_ms;
+		if (isolation_ms < 2 * task->losses[i].ran_ms)
+			isolation_ms = 2 * task->losses[i].ran_ms;
 	}
-	return alone_ms < ALONE_MAX_MS ? alone_ms : ALONE_MAX_MS;
+	return isolation_ms < ISOLATION_MAX_MS ? isolation_ms :
+						 ISOLATION_MAX_MS;
 }
 
 /*
- * With a start before its last loss is saved a next leader would count one
- * less, with each change of leaders.  Without the store it waits no longer
- * than for the proof of a crash.
+ * If the task started before its last loss is saved, each change of leaders
+ * could lose one from the count.  If the store is unavailable, the wait ends
+ * after RETRY_DELAY_MS.
  */
 bool
 loss_awaits_save(const struct sched_task *task, int64_t now_ms)
 {
-	return task->nlosses >= SURE_MIN &&
+	return task->nlosses >= RUNNING_CRASHES_MIN &&
 	    task_job(task)->saved < task->losses_change &&
-	    now_ms - task->since_ms < HOLD_MS;
+	    now_ms - task->since_ms < RETRY_DELAY_MS;
 }
 
 int64_t
 loss_retry_at_ms(
     const struct sched *s, const struct sched_task *task, int64_t now_ms)
 {
-	if (task->nlosses < SURE_MIN || blame_of(s, task) != BLAME_CERTAIN)
+	if (task->nlosses < RUNNING_CRASHES_MIN ||
+	    blame_of(s, task) != BLAME_CERTAIN)
 		return now_ms;
-	return now_ms + HOLD_MS;
+	return now_ms + RETRY_DELAY_MS;
 }
--- a/core/sched_place.c
+++ b/core/sched_place.c
@@ -4,55 +4,55 @@
 
 #include "sched_int.h"
 
-/* To which worker a waiting task goes.  Which job goes first: sched_rank.c. */
+/* Selects workers for waiting tasks.  The order of jobs is in sched_rank.c. */
 
-/* A start refuses itself at the worker after so long, in milliseconds. */
-#define START_LIFE_MS 2500
-/* A filler may begin where at least this share of its processors is free. */
+/* Time after which the worker refuses a start. */
+#define START_TIMEOUT_MS 2500
+/* A filler may start where at least this share of its processors is idle. */
 #define FILLER_SHARE 0.9
-/* Gains and losses of serving tasks put together, in processors. */
-#define SAME_IMAGE 4
-#define OTHER_IMAGE 8
-/* For a rise of one serving task's load by its whole, in thousandths. */
-#define PRESSURE_COST 20000
-/* For each run that goes down with a worker, in thousandths. */
+/* Score in processors for each serving task of the same or another image. */
+#define SAME_IMAGE_SCORE 4
+#define OTHER_IMAGE_PENALTY 8
+/* Cost of doubling the load of one serving task, in thousandths. */
+#define INTERFERENCE_COST 20000
+/* Cost of each run that a crash of the worker would end, in thousandths. */
 #define LOST_RUN_COST 20000
-/* It waits so long for a worker where it disturbs nobody. */
-#define PRESSURE_WAIT_MS 8000
-/* Away from its data only after waiting for so much of its run time. */
+/* A filler waits this long for a worker where no serving task gets late. */
+#define INTERFERENCE_WAIT_MS 8000
+/* A task waits this share of its run time for a worker near its data. */
 #define DATA_WAIT_SHARE 0.5
-/* Steps without room that a pass remembers. */
+/* Unplaceable steps that a pass remembers. */
 #define MISSES_MAX 32
-/* Starts sent by one pass, so that other events get their turn. */
+/* Starts sent in one pass, so that other events are handled in time. */
 #define STARTS_MAX 64
 /*
- * A pass weighs some workers for each task; after one that weighed many the
- * next comes later, so that a queue of thousands of tasks leaves the entry
- * time for beats: else members hear none and depose it.  To pass a worker over
- * for its room is a small part of weighing it.
+ * Cost of a pass, from which the delay of the next one follows.  Without the
+ * delay a queue of thousands of tasks leaves the entry no time for heartbeats,
+ * and the members depose it.  Skipping a worker that is full costs a small part
+ * of examining it.
  */
-#define LOOKS_PER_MS 4000
-#define PASSED_PER_LOOK 32
-/* Passes are so far apart in any case: each ranks all jobs that wait. */
-#define PASS_GAP_MS 4
+#define EXAMINED_PER_MS 4000
+#define SCANNED_PER_EXAMINED 32
+/* Minimum interval of passes: each ranks all waiting jobs. */
+#define PASS_INTERVAL_MS 4
 /*
- * Among so many workers that suit the best is hardly worse than among all: it
- * is one of the best twentieth with a probability of 0.96.
+ * Number of suitable workers to score.  The best of 64 is among the best
+ * twentieth of all with a probability of 0.96.
  */
-#define ENOUGH 64
-/* The link takes no starts now: it is asked again after so long. */
+#define CANDIDATES_ENOUGH 64
+/* Delay before trying again when the link accepts no starts. */
 #define LINK_RETRY_MS 5
-/* Waiting tasks are tried again at least so often, in milliseconds. */
-#define PLACE_EVERY_MS 50
+/* Maximum interval of passes while tasks wait. */
+#define PLACE_INTERVAL_MS 50
 
-/* A step that found no room in this pass. */
+/* A step that found no worker in this pass. */
 struct placing_miss {
 	const struct sched_queue *queue;
 	const struct graph_step *spec;
 	int image;
 };
 
-/* A usable worker and what is free there: all that most looks need of it. */
+/* A usable worker and its free resources, which suffice for most checks. */
 struct candidate {
 	struct sched_worker *worker;
 	struct resources free;
@@ -61,11 +61,10 @@
 struct placing {
 	struct sched *s;
 	int64_t now_ms;
-	struct candidate
-	    *candidates; /* of this pass; made with the first task */
+	struct candidate *candidates; /* set up for the first task */
 	size_t ncandidates;
-	uint64_t looked; /* workers weighed in this pass */
-	uint64_t passed; /* those whose room alone was looked at */
+	uint64_t examined; /* workers checked in full in this pass */
+	uint64_t scanned; /* workers whose free resources were checked */
 	uint32_t started;
 	uint32_t starts_max; /* of this pass */
 	struct placing_miss misses[MISSES_MAX];
@@ -108,11 +107,11 @@
 		p->candidates[p->ncandidates].worker = worker;
 		set_free(&p->candidates[p->ncandidates++]);
 	}
-	p->passed += n;
+	p->scanned += n;
 	return true;
 }
 
-/* A filler's processors aren't counted. */
+/* Fillers reserve no processors. */
 static bool
 fits(const struct candidate *candidate, const struct graph_step *spec)
 {
@@ -125,7 +124,8 @@
 }
 
 static uint32_t
-count_of_step(const struct sched_worker *worker, const struct sched_step *step)
+count_runs_of_step(
+    const struct sched_worker *worker, const struct sched_step *step)
 {
 	const struct sched_run *run;
 	uint32_t n;
@@ -150,12 +150,12 @@
 	    !sched_worker_has_label(worker, spec->label))
 		return false;
 	return spec->per_worker == 0 ||
-	    count_of_step(worker, task->step) < spec->per_worker;
+	    count_runs_of_step(worker, task->step) < spec->per_worker;
 }
 
 /* Whether the task should still wait for a worker near its data. */
 static bool
-waits_for_data(struct placing *p, const struct sched_task *task)
+should_wait_for_data(struct placing *p, const struct sched_task *task)
 {
 	const struct graph_step *spec;
 
@@ -165,12 +165,12 @@
 }
 
 /*
- * Serving tasks of one image are put together, on as few workers as hold
- * them: a filler that disturbs that image then finds others to go to, and
- * whole workers stay for fillers alone.
+ * Concentrate serving tasks of one image on few workers: fillers that interfere
+ * with that image then find other workers, and some workers are left to fillers
+ * alone.
  */
 static double
-suits_serving(const struct sched_worker *worker, const struct sched_task *task)
+score_serving(const struct sched_worker *worker, const struct sched_task *task)
 {
 	double score;
 	size_t i;
@@ -179,17 +179,17 @@
 	for (i = 0; i < worker->nserved; i++)
 		score += worker->served[i].n *
 		    (worker->served[i].image == task->step->image ?
-			    SAME_IMAGE :
-			    -OTHER_IMAGE);
+			    SAME_IMAGE_SCORE :
+			    -OTHER_IMAGE_PENALTY);
 	return score * MILLIS_PER_PROCESSOR;
 }
 
 /*
- * How well the worker suits: processors left over after the task, in
- * thousandths, less what a slow worker or a distant rack would cost.
+ * Score of the worker for the task: processors left after placing it, in
+ * thousandths, less the cost of a slow worker, a distant rack or interference.
  */
 static double
-suits(struct placing *p, struct sched_worker *worker,
+score_worker(struct placing *p, struct sched_worker *worker,
     const struct sched_task *task)
 {
 	const struct graph_step *spec;
@@ -197,12 +197,12 @@
 
 	spec = task->step->spec;
 	if (spec->tail_target_ms > 0)
-		score = suits_serving(worker, task);
+		score = score_serving(worker, task);
 	else
 		score = (double)(use_idle_cpu(p->s, worker) -
 		    spec->size.cpu_millis);
 	if (spec->filler && worker->serving > 0)
-		score -= PRESSURE_COST *
+		score -= INTERFERENCE_COST *
 		    share_added_load(p->s, worker, task->step->image,
 			share_cpu_fraction(p->s, worker, spec));
 	if (worker->speed > 1.3)
@@ -218,11 +218,11 @@
 }
 
 /*
- * Whether a filler may go there: processors are left, and no serving task
- * would be late beside it.
+ * Whether a filler may be placed there: enough processors are idle, and no
+ * serving task would get late.
  */
 static bool
-filler_may(struct placing *p, const struct sched_worker *worker,
+filler_allowed(struct placing *p, const struct sched_worker *worker,
     const struct sched_task *task)
 {
 	const struct graph_step *spec;
@@ -231,19 +231,19 @@
 	if ((double)use_idle_cpu(p->s, worker) <
 	    FILLER_SHARE * p->s->batch_use * (double)spec->size.cpu_millis)
 		return false;
-	/* New ones in place of those held back would keep the task late. */
+	/* Replacing throttled fillers by new ones would keep the task late. */
 	if (worker->late_since_ms != 0)
 		return false;
 	if (worker->serving == 0 ||
-	    p->now_ms - task->since_ms > PRESSURE_WAIT_MS)
+	    p->now_ms - task->since_ms > INTERFERENCE_WAIT_MS)
 		return true;
 	return share_load_ratio(p->s, worker, task->step->image,
 		   share_cpu_fraction(p->s, worker, spec)) <= 1;
 }
 
-/* How many that suit are weighed; all, where one may be much better. */
+/* Number of candidates to score; all, if one may be much better. */
 static size_t
-enough(const struct placing *p, const struct sched_task *task)
+candidates_wanted(const struct placing *p, const struct sched_task *task)
 {
 	const struct graph_step *spec;
 
@@ -251,12 +251,12 @@
 	if (loss_is_suspect(p->s, task) || spec->rack[0] != '\0' ||
 	    spec->tail_target_ms > 0)
 		return SIZE_MAX;
-	return ENOUGH;
+	return CANDIDATES_ENOUGH;
 }
 
-/* What happened to it in this pass is seen in its room and here. */
+/* Checks again what an earlier placement of this pass may have changed. */
 static bool
-may_take(struct placing *p, const struct candidate *candidate,
+is_eligible(struct placing *p, const struct candidate *candidate,
     const struct sched_task *task)
 {
 	const struct graph_step *spec;
@@ -264,14 +264,14 @@
 	spec = task->step->spec;
 	if (!fits(candidate, spec))
 		return false;
-	p->looked++;
+	p->examined++;
 	return worker_usable(candidate->worker, p->now_ms) &&
 	    candidate->worker->isolated_until_ms <= p->now_ms &&
 	    allowed(candidate->worker, task) &&
-	    (!spec->filler || filler_may(p, candidate->worker, task));
+	    (!spec->filler || filler_allowed(p, candidate->worker, task));
 }
 
-/* The best of enough that may take it, from a random one on; NULL: none may. */
+/* The best of enough candidates, from a random offset on; NULL: none. */
 static struct candidate *
 best_candidate(struct placing *p, const struct sched_task *task)
 {
@@ -282,22 +282,22 @@
 	best = NULL;
 	best_score = -INFINITY;
 	found = 0;
-	most = enough(p, task);
+	most = candidates_wanted(p, task);
 	at = p->ncandidates > most ? sched_random(p->s) % p->ncandidates : 0;
 	for (i = 0; i < p->ncandidates && found < most; i++) {
 		candidate = &p->candidates[at];
 		at = at + 1 < p->ncandidates ? at + 1 : 0;
-		if (!may_take(p, candidate, task))
+		if (!is_eligible(p, candidate, task))
 			continue;
 		found++;
-		score = suits(p, candidate->worker, task) +
+		score = score_worker(p, candidate->worker, task) +
 		    (double)(sched_random(p->s) % 500);
 		if (score > best_score) {
 			best = candidate;
 			best_score = score;
 		}
 	}
-	p->passed += i;
+	p->scanned += i;
 	return best;
 }
 
@@ -313,7 +313,7 @@
 	best = best_candidate(p, task);
 	if (best != NULL && spec->rack[0] != '\0' &&
 	    !sched_worker_has_label(best->worker, spec->rack) &&
-	    waits_for_data(p, task))
+	    should_wait_for_data(p, task))
 		return NULL;
 	return best;
 }
@@ -338,7 +338,8 @@
 	struct sched_worker *worker;
 
 	worker = run->worker;
-	run->deadline_worker_ms = worker_clock(worker, now_ms) + START_LIFE_MS;
+	run->deadline_worker_ms =
+	    worker_clock(worker, now_ms) + START_TIMEOUT_MS;
 	if (run->deadline_worker_ms > worker->granted_ms)
 		worker->granted_ms = run->deadline_worker_ms;
 	s->counts.starts++;
@@ -351,7 +352,7 @@
 	s->opt.actions->start(s, run, s->opt.ctx);
 }
 
-/* false: there is no room for tasks of this step now. */
+/* false: no worker accepts tasks of this step now. */
 static bool
 place_task(struct placing *p, struct sched_task *task)
 {
@@ -369,7 +370,7 @@
 	return true;
 }
 
-/* What a gang took is given back. */
+/* Recompute the free resources after a gang was withdrawn. */
 static void
 update_free(struct placing *p)
 {
@@ -379,7 +380,7 @@
 		set_free(&p->candidates[i]);
 }
 
-/* All tasks of a gang at once, or none. */
+/* Start all tasks of a gang at once, or none. */
 static void
 place_gang(struct placing *p, struct sched_step *step)
 {
@@ -422,7 +423,7 @@
 		update_free(p);
 }
 
-/* Without rules of its own, and of the same kind: it fits where that fits. */
+/* No placement rules of its own: any step like it fits the same workers. */
 static bool
 is_plain(const struct graph_step *spec)
 {
@@ -443,7 +444,7 @@
 	miss->image = step->image;
 }
 
-/* One like it, no larger, found no room in this pass. */
+/* Whether a like step of the same size or smaller found no worker. */
 static bool
 is_missed(const struct placing *p, const struct sched_step *step)
 {
@@ -515,7 +516,7 @@
 		sched_due(s, now_ms + LINK_RETRY_MS);
 		return;
 	}
-	s->place_ms = now_ms + PLACE_EVERY_MS;
+	s->place_ms = now_ms + PLACE_INTERVAL_MS;
 	s->place_wanted = false;
 	n = 0;
 	TAILQ_FOREACH (job, &s->open, link) {
@@ -541,11 +542,11 @@
 	    s->starts_allowed < STARTS_MAX ? s->starts_allowed : STARTS_MAX;
 	for (i = 0; i < n && p.started < p.starts_max; i++)
 		job_each_step(jobs[i], place_step, &p);
-	/* What a gang took and gave back makes no more room than before. */
+	/* A withdrawn gang has set it, but freed nothing new. */
 	s->place_wanted = p.started >= p.starts_max;
-	p.looked += n + p.passed / PASSED_PER_LOOK;
+	p.examined += n + p.scanned / SCANNED_PER_EXAMINED;
 	s->place_min_ms =
-	    now_ms + PASS_GAP_MS + (int64_t)(p.looked / LOOKS_PER_MS);
+	    now_ms + PASS_INTERVAL_MS + (int64_t)(p.examined / EXAMINED_PER_MS);
 	free(p.candidates);
 	free(jobs);
 }
--- a/core/sched_rank.c
+++ b/core/sched_rank.c
@@ -3,19 +3,20 @@
 #include "sched_int.h"
 
 /*
- * Which job's waiting tasks go first.
+ * Order in which the waiting tasks of jobs are placed.
  *
- * Load answered: more work than processors for seconds (bursts of 1.5 to 2.6
- * times the usual), with short jobs that are worth little after their
- * objective.  A job that can still be in time goes before one that can't.  What
- * lasts goes first, since it earns as long as it is at work.
+ * It is made for bursts of seconds with more work than processors (1.5 to 2.6
+ * times the usual load), in which short jobs lose most of their value after
+ * their objective.  A job that can still meet its objective precedes one that
+ * can't.  Long-running jobs come first, since they have value for as long as
+ * they run.
  */
 
-/* Run time left on the longest chain of the job's first open occurrence. */
+/* Remaining critical path of the job's first open occurrence. */
 static int64_t
-chain_left_ms(const struct sched_job *job)
+remaining_path_ms(const struct sched_job *job)
 {
-	int64_t ends[GRAPH_STEPS_MAX], begin, longest;
+	int64_t ends[GRAPH_STEPS_MAX], start_ms, longest;
 	const struct sched_occurrence *occurrence;
 	const struct graph_step *step;
 	uint32_t k;
@@ -31,12 +32,12 @@
 	longest = 0;
 	for (i = 0; i < job->graph->nsteps; i++) {
 		step = &job->graph->steps[i];
-		begin = 0;
+		start_ms = 0;
 		for (j = 0; j < step->nafter; j++) {
-			if (ends[step->after[j]] > begin)
-				begin = ends[step->after[j]];
+			if (ends[step->after[j]] > start_ms)
+				start_ms = ends[step->after[j]];
 		}
-		ends[i] = begin;
+		ends[i] = start_ms;
 		if (occurrence->steps[i].ndone < step->count)
 			ends[i] += step->estimate_ms;
 		if (ends[i] > longest)
@@ -46,7 +47,7 @@
 }
 
 static int64_t
-objective_ms(const struct sched_job *job)
+objective_at_ms(const struct sched_job *job)
 {
 	const struct sched_queue *queue;
 	int64_t from_ms;
@@ -65,36 +66,37 @@
 		(double)graph_critical_path_ms(job->graph));
 }
 
-/* Tiers of the order in which jobs are placed. */
+/* Tiers of ranks; the higher tier is placed first. */
 #define TIER 1e9
-#define TIER_LASTS 4
+#define TIER_LONG_RUNNING 4
 #define TIER_IN_TIME 3
 #define TIER_LATE 2
-#define TIER_PAST 1
-/* Past three times its objective a job earns nothing any more. */
-#define PAST_TIMES 3
+#define TIER_WORTHLESS 1
+/* A job has no value any more after this many times its objective. */
+#define WORTHLESS_FACTOR 3
 
 /*
- * Among jobs of a tier the one goes first that has least time to spare before
- * it is late, or worth nothing.  An order by worth per work left
- * would serve more of them, but never the largest.
+ * Within a tier the job with the least slack before it is late, or worthless,
+ * goes first.  Ordering by value per remaining work would complete more jobs,
+ * but starve the largest.
  */
 double
 rank_job(const struct sched_job *job, int64_t now_ms)
 {
-	int64_t ends_ms, allowed_ms, objective, past;
+	int64_t ends_ms, allowed_ms, objective_ms, worthless_ms;
 
 	if (graph_lasts(job->graph))
-		return TIER_LASTS * TIER - (double)job->queue->terms.priority;
-	ends_ms = now_ms + chain_left_ms(job);
-	objective = objective_ms(job);
-	allowed_ms = objective - job->submitted_ms;
-	past = job->submitted_ms + PAST_TIMES * allowed_ms;
-	if (ends_ms <= objective)
-		return TIER_IN_TIME * TIER - (double)(objective - ends_ms);
-	if (ends_ms <= past)
-		return TIER_LATE * TIER - (double)(past - ends_ms);
-	return TIER_PAST * TIER - (double)(now_ms - job->submitted_ms);
+		return TIER_LONG_RUNNING * TIER -
+		    (double)job->queue->terms.priority;
+	ends_ms = now_ms + remaining_path_ms(job);
+	objective_ms = objective_at_ms(job);
+	allowed_ms = objective_ms - job->submitted_ms;
+	worthless_ms = job->submitted_ms + WORTHLESS_FACTOR * allowed_ms;
+	if (ends_ms <= objective_ms)
+		return TIER_IN_TIME * TIER - (double)(objective_ms - ends_ms);
+	if (ends_ms <= worthless_ms)
+		return TIER_LATE * TIER - (double)(worthless_ms - ends_ms);
+	return TIER_WORTHLESS * TIER - (double)(now_ms - job->submitted_ms);
 }
 
 int
--- a/core/sched_run.c
+++ b/core/sched_run.c
@@ -3,12 +3,12 @@
 
 #include "sched_int.h"
 
-/* A stop without an answer is repeated after so long, in milliseconds. */
+/* An unanswered stop is sent again after this long. */
 #define STOP_RETRY_MS 300
-/* Attempts in one term; leaves room in the number for the term. */
+/* Attempt numbers per term; the higher bits hold the term. */
 #define ATTEMPTS_PER_TERM 1024
 
-/* What a run takes of its worker: a filler's processors aren't counted. */
+/* Resources that a run reserves on its worker; fillers reserve no CPU. */
 static struct resources
 run_size(const struct sched_task *task)
 {
@@ -21,8 +21,8 @@
 }
 
 /*
- * Attempts rise over all leaders without being stored: the term's share of
- * the number puts each later leader above all that earlier ones used.
+ * Attempt numbers rise over all leaders without being stored: they contain the
+ * term, so those of a later leader are higher than all earlier ones.
  */
 static uint32_t
 attempts_base(const struct sched *s)
@@ -152,12 +152,12 @@
 
 void
 run_stop_others(
-    struct sched *s, struct sched_task *task, const struct sched_run *but)
+    struct sched *s, struct sched_task *task, const struct sched_run *except)
 {
 	struct sched_run *run;
 
 	TAILQ_FOREACH (run, &task->runs, by_task) {
-		if (run != but)
+		if (run != except)
 			run_want_stop(s, run);
 	}
 }
@@ -174,7 +174,7 @@
 	s->opt.actions->stop(s, run->worker, &name, run->attempt, s->opt.ctx);
 }
 
-/* Stops that are due at the worker. */
+/* Send the stops that are due at the worker. */
 void
 run_step(struct sched *s, struct sched_worker *worker, int64_t now_ms)
 {
--- a/core/sched_share.c
+++ b/core/sched_share.c
@@ -4,57 +4,65 @@
 #include "sched_int.h"
 
 /*
- * Fillers disturb the serving tasks beside them; press.c learns how much.
- * From that it is foretold how near to its target each serving task comes: a
- * filler is placed only where all stay below, and those that run are paced so
- * that they do, as loads rise and fall.
+ * Sharing of a worker between fillers and serving tasks.  Fillers slow down the
+ * serving tasks beside them; interference.c learns how much.  The prediction of
+ * each serving task's tail decides where a filler may be placed: only where all
+ * tails stay below their targets.  Running fillers are paced so that they stay
+ * below as loads change.
  *
- * Should a serving task be late all the same, the fillers that press it most
- * are held back one after the other, and close to the time at which the
- * lateness becomes a breach, all of them.
+ * If a serving task is late in spite of that, the fillers that interfere most
+ * with it are throttled one after the other, and shortly before the lateness
+ * becomes a breach, all of them.
  */
 
-/* Learn from each row of looks that come each 250 ms, from no others twice. */
+/*
+ * Minimum interval between samples of one tail, a little less than the interval
+ * of frequent polls, 250 ms.
+ */
 #define SAMPLE_MS 240
-/* A listed tail is that of the last half second: what was beside it lately. */
-#define LATELY_MS 300.0
-/* A dose that is gone, as a share of the worker's processors. */
-#define DOSE_GONE 0.003
-/* A tail this near to its target counts as over it: the figure is rough. */
-#define OVER_SHARE 0.9
-/* and below this share of its target it is surely in time again. */
-#define GOOD_SHARE 0.87
 /*
- * Kept in reserve of the load at which a task is late: less than nothing.  It
- * trades lasting tasks, some of which are late for a moment, for batch jobs.
+ * A listed tail covers the last half second; filler usage is averaged over
+ * about the same time.
+ */
+#define USAGE_DECAY_MS 300.0
+/* Lower usage, as a share of the worker's processors, is dropped. */
+#define USAGE_MIN 0.003
+/* A tail over this share of its target counts as late: tails are noisy. */
+#define LATE_SHARE 0.9
+/* A late task is on time again below this share of its target. */
+#define ON_TIME_SHARE 0.87
+/*
+ * Load kept free below the limit at which a task is late.  The negative value
+ * admits more batch work and accepts that some long-running tasks are late for
+ * a moment.
  */
 #define RESERVE (-0.02)
-/* With each second of lateness more is kept in reserve. */
+/* Added to the reserve for each second of lateness. */
 #define RESERVE_PER_LATE_S 0.03
-/* A filler works faster again only with this much more to spare. */
-#define RAISE 0.02
+/* Additional reserve that is required to raise a pace. */
+#define RAISE_RESERVE 0.02
 #define RAISE_AFTER_MS 500
-/* Paces are sent in such steps. */
+/* Paces are multiples of this, in percent. */
 #define PACE_STEP 25
-/* A late task's fillers are held back, whatever is foretold, after so long. */
-#define ANY_CAUSE_MS 1800
-/* All fillers are paced down so long before the breach. */
-#define ALL_BEFORE_MS 1400
-/* Between two such measures, so that the first one shows. */
-#define PACE_SETTLE_MS 700
+/* After this lateness fillers are throttled whatever the prediction says. */
+#define THROTTLE_ONE_MS 1800
+/* All fillers are throttled this long before a breach. */
+#define THROTTLE_ALL_BEFORE_MS 1400
+/* Interval between two of these, so that the first one takes effect. */
+#define THROTTLE_INTERVAL_MS 700
 /*
- * Standing so long, a filler goes elsewhere: loads take seconds to fall, and
- * others are low meanwhile.
+ * A filler at pace 0 for this long is moved: loads take seconds to fall, and
+ * those of other workers are low meanwhile.
  */
 #define MOVE_AFTER_MS 700
 /*
- * With each move of a task the next one takes twice as long, so many times.
- * Where all workers are pressed it would stand on the next one, too.
+ * The delay doubles with each move of a task, this many times: where the load
+ * of all workers is high it would be throttled on the next one, too.
  */
 #define MOVE_SHIFT_MAX 3
-/* A run without checkpoints is moved only before this much of its work. */
+/* A run without checkpoints is moved only below this progress, in percent. */
 #define MOVE_PERCENT 40
-/* More fillers on a worker than this are not paced one by one. */
+/* Fillers of a worker that are paced individually; others aren't paced. */
 #define FILLERS_MAX 64
 
 static bool
@@ -87,9 +95,9 @@
 	    (double)worker->room.capacity.cpu_millis;
 }
 
-/* What the run uses of the worker at a pace. */
+/* Share of the worker's processors that the run uses at a pace. */
 static double
-share_at(const struct sched *s, const struct sched_run *run, int pace)
+cpu_share_at(const struct sched *s, const struct sched_run *run, int pace)
 {
 	if (pace == PACE_UNKNOWN)
 		pace = 100;
@@ -97,7 +105,7 @@
 	    pace / 100;
 }
 
-/* Serving tasks of an image come to the worker (1) or leave it (-1). */
+/* Count a serving task of an image that is added (1) or removed (-1). */
 void
 share_count_serving(
     struct sched_worker *worker, int image, int64_t target_ms, int change)
@@ -111,7 +119,7 @@
 	}
 	if (i == worker->nserved) {
 		if (change < 0 || i == SCHED_SERVED_MAX)
-			return; /* one too many to be told apart */
+			return; /* images over the maximum aren't tracked */
 		served = &worker->served[worker->nserved++];
 		served->image = image;
 		served->n = 0;
@@ -127,12 +135,12 @@
 		*served = worker->served[--worker->nserved];
 }
 
-/* Doses: what fillers of each image use now, and used lately. */
+/* Usage of the worker by fillers of each image, current and recent. */
 
 static struct sched_filler_usage *
-dose_of(struct sched_worker *worker, int image)
+get_usage(struct sched_worker *worker, int image)
 {
-	struct sched_filler_usage *dose;
+	struct sched_filler_usage *usage;
 	size_t i;
 
 	for (i = 0; i < worker->nusages; i++) {
@@ -141,36 +149,36 @@
 	}
 	if (worker->nusages == SCHED_FILLER_USAGE_MAX)
 		return NULL;
-	dose = &worker->usages[worker->nusages++];
-	dose->filler = image;
-	dose->now = 0;
-	dose->lately = 0;
-	return dose;
+	usage = &worker->usages[worker->nusages++];
+	usage->filler = image;
+	usage->now = 0;
+	usage->recent = 0;
+	return usage;
 }
 
-/* Bring them up to the time of a change, before the change counts. */
+/* Average up to now and clear the current usage, which the caller sums anew. */
 static void
-fade_doses(struct sched_worker *worker, int64_t now_ms)
+decay_usages(struct sched_worker *worker, int64_t now_ms)
 {
-	struct sched_filler_usage *dose;
+	struct sched_filler_usage *usage;
 	double kept;
 	size_t i;
 
-	kept = exp(-(double)(now_ms - worker->usages_ms) / LATELY_MS);
+	kept = exp(-(double)(now_ms - worker->usages_ms) / USAGE_DECAY_MS);
 	worker->usages_ms = now_ms;
 	for (i = 0; i < worker->nusages;) {
-		dose = &worker->usages[i];
-		dose->lately = dose->lately * kept + dose->now * (1 - kept);
-		dose->now = 0;
-		if (dose->lately < DOSE_GONE)
-			*dose = worker->usages[--worker->nusages];
+		usage = &worker->usages[i];
+		usage->recent = usage->recent * kept + usage->now * (1 - kept);
+		usage->now = 0;
+		if (usage->recent < USAGE_MIN)
+			*usage = worker->usages[--worker->nusages];
 		else
 			i++;
 	}
 }
 
 static void
-set_strains(struct sched *s, struct sched_worker *worker)
+update_filler_loads(struct sched *s, struct sched_worker *worker)
 {
 	struct sched_served *served;
 	size_t i, j;
@@ -189,35 +197,35 @@
 share_update_usage(struct sched *s, struct sched_worker *worker, int64_t now_ms)
 {
 	const struct sched_run *run;
-	struct sched_filler_usage *dose;
+	struct sched_filler_usage *usage;
 
-	fade_doses(worker, now_ms);
+	decay_usages(worker, now_ms);
 	TAILQ_FOREACH (run, &worker->runs, by_worker) {
 		if (!run->task->step->spec->filler ||
 		    run->state == RUN_STOPPING)
 			continue;
-		if ((dose = dose_of(worker, run->task->step->image)) != NULL)
-			dose->now += share_at(s, run, run->pace);
+		if ((usage = get_usage(worker, run->task->step->image)) != NULL)
+			usage->now += cpu_share_at(s, run, run->pace);
 	}
-	set_strains(s, worker);
+	update_filler_loads(s, worker);
 }
 
-/* Learning. */
+/* Updates of the interference model. */
 
 static size_t
-lately(const struct sched_worker *worker, struct filler_usage *usages)
+recent_usages(const struct sched_worker *worker, struct filler_usage *usages)
 {
 	size_t i;
 
 	for (i = 0; i < worker->nusages; i++) {
 		usages[i].filler = worker->usages[i].filler;
-		usages[i].share = worker->usages[i].lately;
+		usages[i].share = worker->usages[i].recent;
 	}
 	return worker->nusages;
 }
 
 static void
-raise_load(struct sched_worker *worker, const struct sched_run *run)
+update_served_load(struct sched_worker *worker, const struct sched_run *run)
 {
 	struct sched_served *served;
 	double load;
@@ -233,13 +241,13 @@
 }
 
 static void
-learn(struct sched *s, struct sched_worker *worker, int64_t now_ms)
+update_model(struct sched *s, struct sched_worker *worker, int64_t now_ms)
 {
 	struct filler_usage usages[SCHED_FILLER_USAGE_MAX];
 	struct sched_run *run;
 	size_t i, n;
 
-	n = lately(worker, usages);
+	n = recent_usages(worker, usages);
 	for (i = 0; i < worker->nserved; i++)
 		worker->served[i].load = 0;
 	TAILQ_FOREACH (run, &worker->runs, by_worker) {
@@ -254,17 +262,17 @@
 			    (double)run->task->step->spec->tail_target_ms,
 			    now_ms);
 		}
-		raise_load(worker, run);
+		update_served_load(worker, run);
 	}
 }
 
-/* Foretelling. */
+/* Prediction. */
 
 static double
 limit_of(const struct sched *s, const struct sched_served *served)
 {
 	return interference_load_limit(s->interference, served->image,
-	    OVER_SHARE * (double)served->target_ms);
+	    LATE_SHARE * (double)served->target_ms);
 }
 
 double
@@ -273,7 +281,7 @@
 {
 	const struct load_estimate never_listed = { 0 };
 	const struct sched_served *served;
-	double load, unknown, pressure, highest;
+	double load, unknown, ratio, highest;
 	size_t i;
 
 	highest = 0;
@@ -281,14 +289,14 @@
 	for (i = 0; i < worker->nserved; i++) {
 		served = &worker->served[i];
 		load = served->load > 0 ? served->load : unknown;
-		pressure = (load + RESERVE) *
+		ratio = (load + RESERVE) *
 		    (1 + served->filler_load +
 			share *
 			    interference_effect(
 				s->interference, served->image, image)) /
 		    limit_of(s, served);
-		if (pressure > highest)
-			highest = pressure;
+		if (ratio > highest)
+			highest = ratio;
 	}
 	return highest;
 }
@@ -332,7 +340,7 @@
 	set_pace(s, run, 100, now_ms);
 }
 
-/* Fillers of a worker and the paces that they may have. */
+/* Fillers of a worker and the highest pace of each. */
 struct paces {
 	struct sched_run *runs[FILLERS_MAX];
 	int pace[FILLERS_MAX];
@@ -354,20 +362,20 @@
 }
 
 static double
-strain_by(const struct sched *s, const struct sched_served *served,
+filler_load_of(const struct sched *s, const struct sched_served *served,
     const struct paces *paces, size_t i)
 {
 	const struct sched_run *run;
 
 	run = paces->runs[i];
-	return share_at(s, run, paces->pace[i]) *
+	return cpu_share_at(s, run, paces->pace[i]) *
 	    interference_effect(
 		s->interference, served->image, run->task->step->image);
 }
 
-/* What all of them raise its load by, and which of them by most. */
+/* Relative rise of load caused by all of them, and the largest contributor. */
 static double
-strain_by_all(const struct sched *s, const struct sched_served *served,
+filler_load_of_all(const struct sched *s, const struct sched_served *served,
     const struct paces *paces, size_t *most, double *by_most)
 {
 	double part, filler_load;
@@ -377,7 +385,7 @@
 	*by_most = 0;
 	*most = 0;
 	for (i = 0; i < paces->n; i++) {
-		part = strain_by(s, served, paces, i);
+		part = filler_load_of(s, served, paces, i);
 		filler_load += part;
 		if (part > *by_most) {
 			*by_most = part;
@@ -387,9 +395,9 @@
 	return filler_load;
 }
 
-/* Slow down those that press most until the tasks stay below their target. */
+/* Lower the paces of the largest contributors until the load fits. */
 static void
-fit_served(const struct sched *s, const struct sched_served *served,
+fit_paces_to(const struct sched *s, const struct sched_served *served,
     struct paces *paces, double reserve)
 {
 	double allowed, by_most, filler_load;
@@ -400,7 +408,8 @@
 		return;
 	allowed = limit_of(s, served) / (served->load + reserve) - 1;
 	for (;;) {
-		filler_load = strain_by_all(s, served, paces, &most, &by_most);
+		filler_load =
+		    filler_load_of_all(s, served, paces, &most, &by_most);
 		if (filler_load <= allowed || by_most <= 0)
 			return;
 		lower = paces->pace[most] -
@@ -420,21 +429,21 @@
 
 	list_fillers(worker, paces);
 	for (i = 0; i < worker->nserved; i++)
-		fit_served(s, &worker->served[i], paces, reserve);
+		fit_paces_to(s, &worker->served[i], paces, reserve);
 }
 
 /*
- * A task may have been late since it was last listed as good.  Figures are
- * rough: one a little below the target doesn't end the lateness.
+ * A task may have been late since it was last listed as on time.  Tails are
+ * noisy: one slightly below the target doesn't end the lateness.
  */
 static void
-note_late(struct sched_run *run)
+update_lateness(struct sched_run *run)
 {
 	double share;
 
 	share = target_share(run);
-	if (share < GOOD_SHARE ||
-	    (run->late_since_ms == 0 && share <= OVER_SHARE)) {
+	if (share < ON_TIME_SHARE ||
+	    (run->late_since_ms == 0 && share <= LATE_SHARE)) {
 		run->late_since_ms = 0;
 		run->on_time_ms = run->measurement_ms;
 	} else if (run->late_since_ms == 0)
@@ -442,9 +451,9 @@
 							    run->measurement_ms;
 }
 
-/* The time since when the latest of the serving tasks is over; 0: none. */
+/* When the serving task that is late for longest became late; 0: none is. */
 static int64_t
-late_since(struct sched_worker *worker, int64_t now_ms)
+update_late_since(struct sched_worker *worker, int64_t now_ms)
 {
 	struct sched_run *run;
 	int64_t since_ms;
@@ -453,7 +462,7 @@
 	TAILQ_FOREACH (run, &worker->runs, by_worker) {
 		if (!is_serving(run) || run->measurement_ms == 0)
 			continue;
-		note_late(run);
+		update_lateness(run);
 		if (run->late_since_ms != 0 &&
 		    (since_ms == 0 || run->late_since_ms < since_ms))
 			since_ms = run->late_since_ms;
@@ -464,9 +473,9 @@
 	return since_ms;
 }
 
-/* How much the filler presses the late tasks, by what is known. */
+/* Predicted relative rise of load by the filler, of the worst late task. */
 static double
-blame(const struct sched *s, const struct sched_worker *worker,
+contribution(const struct sched *s, const struct sched_worker *worker,
     const struct sched_run *filler)
 {
 	const struct sched_run *run;
@@ -481,7 +490,7 @@
 		if (effect > highest)
 			highest = effect;
 	}
-	return highest * share_at(s, filler, filler->pace);
+	return highest * cpu_share_at(s, filler, filler->pace);
 }
 
 static struct sched_run *
@@ -495,7 +504,7 @@
 	TAILQ_FOREACH (run, &worker->runs, by_worker) {
 		if (!is_filler(run) || run->pace == 0 || run->pace_pending)
 			continue;
-		part = blame(s, worker, run);
+		part = contribution(s, worker, run);
 		if (part > highest) {
 			best = run;
 			highest = part;
@@ -505,24 +514,24 @@
 }
 
 static bool
-may_move(const struct sched_run *run)
+is_movable(const struct sched_run *run)
 {
 	return run->task->step->spec->checkpoints ||
 	    run->percent < MOVE_PERCENT;
 }
 
-/* Whatever is foretold: the target is missed, and a breach comes nearer. */
+/* Throttle fillers for actual lateness, whatever the prediction says. */
 static void
-hold_back_late(struct sched *s, struct sched_worker *worker, int64_t late_ms,
+throttle_late(struct sched *s, struct sched_worker *worker, int64_t late_ms,
     int64_t now_ms)
 {
 	struct sched_run *run;
 
-	if (late_ms > s->opt.harm_ms - ALL_BEFORE_MS) {
+	if (late_ms > s->opt.harm_ms - THROTTLE_ALL_BEFORE_MS) {
 		while ((run = likely_cause(s, worker)) != NULL)
 			set_pace(s, run, 0, now_ms);
-	} else if (late_ms > ANY_CAUSE_MS &&
-	    now_ms - worker->paced_ms >= PACE_SETTLE_MS &&
+	} else if (late_ms > THROTTLE_ONE_MS &&
+	    now_ms - worker->paced_ms >= THROTTLE_INTERVAL_MS &&
 	    (run = likely_cause(s, worker)) != NULL)
 		set_pace(s, run, 0, now_ms);
 }
@@ -547,7 +556,7 @@
 
 	reserve = RESERVE + RESERVE_PER_LATE_S * (double)late_ms / 1000;
 	fit_paces(s, worker, &most, reserve);
-	fit_paces(s, worker, &raised, reserve + RAISE);
+	fit_paces(s, worker, &raised, reserve + RAISE_RESERVE);
 	for (i = 0; i < most.n; i++) {
 		run = most.runs[i];
 		if (run->pace > most.pace[i])
@@ -555,7 +564,7 @@
 		else if (late_ms == 0 && run->pace < raised.pace[i] &&
 		    now_ms - run->paced_ms >= RAISE_AFTER_MS)
 			set_pace(s, run, raised.pace[i], now_ms);
-		else if (run->pace == 0 && may_move(run) &&
+		else if (run->pace == 0 && is_movable(run) &&
 		    now_ms - run->paced_ms > move_after_ms(run->task)) {
 			run->task->moves++;
 			run_want_stop(s, run);
@@ -569,17 +578,17 @@
 	int64_t late_ms;
 
 	share_update_usage(s, worker, now_ms);
-	late_ms = late_since(worker, now_ms);
+	late_ms = update_late_since(worker, now_ms);
 	if (late_ms != 0)
 		late_ms = now_ms - late_ms;
 	if (worker->serving == 0)
 		return;
-	learn(s, worker, now_ms);
+	update_model(s, worker, now_ms);
 	if (worker->filler_cpu == 0)
 		return;
 	use_update(s, worker, now_ms);
 	set_paces(s, worker, late_ms, now_ms);
-	hold_back_late(s, worker, late_ms, now_ms);
+	throttle_late(s, worker, late_ms, now_ms);
 	share_update_usage(s, worker, now_ms);
-	worker->pressure = share_load_ratio(s, worker, IMAGE_NONE, 0);
+	worker->load_ratio = share_load_ratio(s, worker, IMAGE_NONE, 0);
 }
--- a/core/sched_use.c
+++ b/core/sched_use.c
@@ -1,36 +1,39 @@
 #include "sched_int.h"
 
 /*
- * What tasks use of the processors they claim, and so what is left for
- * fillers.  Serving tasks use half of their claims or less, by their load, and
- * aren't measured; a filler's use is.  While all fillers on a worker get what
- * they ask for, serving tasks leave more than was thought; where one gets less,
- * the rest is in use.
+ * Estimate of the processors that tasks use of their reservations, and so of
+ * what is left for fillers.  Serving tasks use half of their reservations or
+ * less, depending on load, and their use isn't measured; that of fillers is.
+ * While all fillers on a worker get what they request, serving tasks leave more
+ * idle than estimated; where a filler gets less, all processors are in use.
  *
- * Load answered: more fillers waiting than fit by declared sizes.  On 350
+ * It serves the case that more fillers wait than fit by declared sizes.  On 350
  * workers thousands of them waited while about two fifths of the processors
- * stayed unused, with serving tasks taken to use 0.45 of their claims.
+ * were idle, with an assumed use of 0.45 of the serving tasks' reservations.
  */
 
-/* Share of its claim that a serving task uses, before any was measured. */
+/* Initial share of its reservation that a serving task uses. */
 #define SERVING_USE 0.6
-/* The same of other tasks: about a half use all, the others two thirds. */
+/* The same for other tasks: about a half use all, the others two thirds. */
 #define BATCH_USE 0.83
 /*
  * A filler uses two thirds of its size or all of it.  One that uses less than
- * this share is short of processors.
+ * this share lacks processors.
  */
 #define SHORT_SHARE 0.6
-/* A run's use shows whole only after two spans of half a second. */
+/*
+ * Use is measured over spans of half a second; after a change only the value
+ * after two spans is complete.
+ */
 #define SETTLE_MS 1100
 #define USE_MIN 0.25
 /* Weight of one measurement. */
 #define SERVING_WEIGHT 0.02
 #define BATCH_WEIGHT 0.002
-/* With no filler short anywhere the estimate falls so much in a second. */
-#define FALL_PER_S 0.02
-/* One look speaks for so long. */
-#define FALL_SPAN_MS 500
+/* Decay of the serving estimate per second while no filler lacks processors. */
+#define DECAY_PER_S 0.02
+/* Maximum time of decay per poll. */
+#define DECAY_SPAN_MAX_MS 500
 
 void
 use_init(struct sched *s)
@@ -51,15 +54,15 @@
 	    (int64_t)(s->serving_use * (double)worker->serving_cpu);
 }
 
-/* Processors of a worker by their use, in thousandths. */
+/* Use of a worker's processors, in thousandths. */
 struct use {
-	int64_t batch; /* used by tasks that don't serve */
-	bool fillers; /* there is one whose use is known */
-	bool is_short; /* one of them gets less than it asks for */
+	int64_t batch; /* by tasks other than serving ones */
+	bool fillers; /* the use of a filler was measured */
+	bool is_short; /* a filler gets less than it requests */
 };
 
 static bool
-is_measured(const struct sched_run *run, int64_t now_ms)
+has_measurement(const struct sched_run *run, int64_t now_ms)
 {
 	return run->listed_ms == now_ms && run->measurement > 0 &&
 	    run->begun_ms != 0 && now_ms - run->begun_ms >= SETTLE_MS &&
@@ -70,19 +73,19 @@
 add_run(struct sched *s, const struct sched_run *run, struct use *use,
     int64_t now_ms)
 {
-	double asked, share;
+	double requested, share;
 
-	asked = (double)run->task->step->spec->size.cpu_millis;
+	requested = (double)run->task->step->spec->size.cpu_millis;
 	if (run->pace != PACE_UNKNOWN)
-		asked *= (double)run->pace / 100;
-	if (!is_measured(run, now_ms)) {
-		use->batch += (int64_t)(s->batch_use * asked);
+		requested *= (double)run->pace / 100;
+	if (!has_measurement(run, now_ms)) {
+		use->batch += (int64_t)(s->batch_use * requested);
 		return;
 	}
 	use->batch += run->measurement;
-	if (asked <= 0)
+	if (requested <= 0)
 		return;
-	share = (double)run->measurement / asked;
+	share = (double)run->measurement / requested;
 	if (run->task->step->spec->filler) {
 		use->fillers = true;
 		if (share < SHORT_SHARE)
@@ -93,20 +96,20 @@
 }
 
 static void
-fall(struct sched *s, int64_t now_ms)
+decay_serving_use(struct sched *s, int64_t now_ms)
 {
 	int64_t since_ms;
 
 	since_ms = now_ms - s->use_decayed_ms;
 	s->use_decayed_ms = now_ms;
-	if (since_ms > FALL_SPAN_MS)
-		since_ms = FALL_SPAN_MS;
-	s->serving_use -= FALL_PER_S * (double)since_ms / 1000;
+	if (since_ms > DECAY_SPAN_MAX_MS)
+		since_ms = DECAY_SPAN_MAX_MS;
+	s->serving_use -= DECAY_PER_S * (double)since_ms / 1000;
 	if (s->serving_use < USE_MIN)
 		s->serving_use = USE_MIN;
 }
 
-/* The worker has just listed what runs. */
+/* Called after the worker has listed its runs. */
 void
 use_update(struct sched *s, const struct sched_worker *worker, int64_t now_ms)
 {
@@ -132,5 +135,5 @@
 	if (use.is_short || share < s->serving_use)
 		s->serving_use += SERVING_WEIGHT * (share - s->serving_use);
 	else
-		fall(s, now_ms);
+		decay_serving_use(s, now_ms);
 }
--- a/core/sched_worker.c
+++ b/core/sched_worker.c
@@ -3,30 +3,33 @@
 
 #include "sched_int.h"
 
-/* A look waits so long for an end; it also renews the lease. */
-#define LOOK_WAIT_MS 1000
+/* How long a poll waits at the worker for an end; it also renews the lease. */
+#define POLL_WAIT_MS 1000
 /*
- * Beside fillers the tails of serving tasks are looked after more closely, the
- * more so where one is near its target: paces are set with each look.
+ * Where fillers run beside serving tasks, paces are set with each poll, so
+ * polls are more frequent, the more so where a task is near its target.
  */
-#define LOOK_SHARED_MS 500
-#define LOOK_PRESSED_MS 250
-/* One that stays longer than it said is renewed within LEAVE_SPARE_MS. */
-#define LOOK_DRAINING_MS 300
-/* A load rises by a fifth of that at which a task is late in two seconds. */
-#define PRESSED 0.7
-/* After a call without an answer the next look comes after so long. */
-#define LOOK_RETRY_MS INT64_C(100)
-/* With ends that can't be saved now, each look is answered at once. */
-#define LOOK_UNSAVED_MS 300
-/* The same where the link is full, and nothing at the worker is pressing. */
-#define LOOK_CALM_MS 800
+#define POLL_SHARED_MS 500
+#define POLL_HIGH_LOAD_MS 250
 /*
- * Each worker is stepped so often whatever happens: an event that doesn't touch
- * it, such as the store's return, takes hold by then.
+ * A draining worker that stays past its announced departure has its lease
+ * renewed within LEAVE_SPARE_MS.
  */
-#define STEP_EVERY_MS 100
-/* A lost worker without tasks is forgotten after so long. */
+#define POLL_DRAINING_MS 300
+/* The load can rise by a fifth of its limit within two seconds. */
+#define HIGH_LOAD_RATIO 0.7
+/* Delay of the next poll per unanswered call in a row. */
+#define POLL_RETRY_MS INT64_C(100)
+/* Minimum interval while listed ends aren't saved: polls return at once. */
+#define POLL_UNSAVED_MS 300
+/* Minimum interval of polls that can wait while the link is full. */
+#define POLL_LINK_FULL_MS 800
+/*
+ * Each worker is run at least this often, so that events which don't schedule
+ * it, such as the store being available again, take effect.
+ */
+#define RUN_INTERVAL_MS 100
+/* An unlisted worker without tasks is removed after this long in silence. */
 #define FORGET_MS 10000
 
 int
@@ -38,26 +41,26 @@
 RB_GENERATE(sched_worker_tree, sched_worker, by_id, sched_worker_cmp)
 
 static int
-step_cmp(struct sched_worker *a, struct sched_worker *b)
+due_cmp(struct sched_worker *a, struct sched_worker *b)
 {
-	if (a->step_ms != b->step_ms)
-		return a->step_ms < b->step_ms ? -1 : 1;
+	if (a->due_ms != b->due_ms)
+		return a->due_ms < b->due_ms ? -1 : 1;
 	return a->serial < b->serial ? -1 : a->serial > b->serial;
 }
 
-RB_PROTOTYPE(sched_due_tree, sched_worker, by_due, step_cmp)
-RB_GENERATE(sched_due_tree, sched_worker, by_due, step_cmp)
+RB_PROTOTYPE(sched_due_tree, sched_worker, by_due, due_cmp)
+RB_GENERATE(sched_due_tree, sched_worker, by_due, due_cmp)
 
 static void
-steps_insert(struct sched *s, struct sched_worker *worker, int64_t at_ms)
+due_insert(struct sched *s, struct sched_worker *worker, int64_t at_ms)
 {
-	worker->step_ms = at_ms;
+	worker->due_ms = at_ms;
 	worker->in_due_tree = true;
 	RB_INSERT(sched_due_tree, &s->workers_by_due, worker);
 }
 
 static void
-steps_remove(struct sched *s, struct sched_worker *worker)
+due_remove(struct sched *s, struct sched_worker *worker)
 {
 	if (worker->in_due_tree)
 		RB_REMOVE(sched_due_tree, &s->workers_by_due, worker);
@@ -67,11 +70,11 @@
 void
 worker_schedule(struct sched *s, struct sched_worker *worker)
 {
-	if (worker->in_due_tree && worker->step_ms != 0) {
-		steps_remove(s, worker);
-		steps_insert(s, worker, 0);
+	if (worker->in_due_tree && worker->due_ms != 0) {
+		due_remove(s, worker);
+		due_insert(s, worker, 0);
 	}
-	worker->step_ms = 0;
+	worker->due_ms = 0;
 	sched_due(s, 0);
 }
 
@@ -103,7 +106,7 @@
 	STAILQ_INIT(&worker->ends);
 	SLIST_INIT(&worker->strays);
 	RB_INSERT(sched_worker_tree, &s->workers, worker);
-	steps_insert(s, worker, 0);
+	due_insert(s, worker, 0);
 	return worker;
 }
 
@@ -133,7 +136,7 @@
 		STAILQ_REMOVE_HEAD(&worker->ends, link);
 		free(end);
 	}
-	steps_remove(s, worker);
+	due_remove(s, worker);
 	RB_REMOVE(sched_worker_tree, &s->workers, worker);
 	free(worker->inherited_tasks);
 	free(worker);
@@ -150,7 +153,10 @@
 		worker->listed = true;
 		worker->next_poll_ms = now_ms;
 	}
-	/* Read again later, the same notice would seem to name a later time. */
+	/*
+	 * A notice gives the departure relative to when it is read: reading the
+	 * same one again later would postpone it.
+	 */
 	if (!worker->draining || worker->leaves_ms == 0 ||
 	    leaves_ms < worker->leaves_ms)
 		worker->leaves_ms = leaves_ms;
@@ -193,9 +199,9 @@
 	return n;
 }
 
-/* Nothing runs there any more: its tasks may run elsewhere. */
+/* Settle the runs of a lost worker, requeue their tasks, return the count. */
 static size_t
-drop_runs(struct sched *s, struct sched_worker *worker, enum sched_loss cause,
+settle_runs(struct sched *s, struct sched_worker *worker, enum sched_loss cause,
     int64_t now_ms)
 {
 	struct sched_task *task;
@@ -215,14 +221,14 @@
 	return n;
 }
 
-/* That life of the worker is over, and so is all that ran there. */
+/* This incarnation of the worker and all of its runs have ended. */
 void
 worker_incarnation_ended(
     struct sched *s, struct sched_worker *worker, int64_t now_ms)
 {
 	worker->dead = true;
 	worker_drop_strays(worker);
-	drop_runs(s, worker, LOSS_OTHER_INCARNATION, now_ms);
+	settle_runs(s, worker, LOSS_OTHER_INCARNATION, now_ms);
 	crash_resolve(s, worker, LOSS_CONFIRMED, now_ms);
 }
 
@@ -243,7 +249,7 @@
 	return worker->probe_ms <= now_ms;
 }
 
-/* Ends whose jobs are saved may be acknowledged, in the worker's order. */
+/* Acknowledge ends whose jobs are saved, in the worker's order. */
 void
 worker_acknowledge(struct sched_worker *worker)
 {
@@ -261,7 +267,7 @@
 }
 
 static void
-send_look(struct sched *s, struct sched_worker *worker, int64_t wait_ms,
+send_poll(struct sched *s, struct sched_worker *worker, int64_t wait_ms,
     int64_t now_ms)
 {
 	int64_t deadline_ms;
@@ -270,54 +276,56 @@
 	worker->poll_pending = true;
 	worker->poll_sent_ms = now_ms;
 	s->counts.polls++;
-	s->opt.actions->look(s, worker, deadline_ms, wait_ms, s->opt.ctx);
+	s->opt.actions->poll_worker(
+	    s, worker, deadline_ms, wait_ms, s->opt.ctx);
 }
 
-/* How long the next look may wait for an end. */
+/* How long the next poll may wait for an end. */
 static int64_t
-look_wait(const struct sched_worker *worker)
+poll_wait_ms(const struct sched_worker *worker)
 {
 	if (!worker->fenced || worker->misses > 0 || worker->unneeded > 0 ||
 	    !SLIST_EMPTY(&worker->strays) || !STAILQ_EMPTY(&worker->ends))
 		return 0;
 	if (worker->serving == 0 || worker->filler_cpu == 0)
-		return worker->draining ? LOOK_DRAINING_MS : LOOK_WAIT_MS;
-	return worker->late_since_ms != 0 || worker->pressure > PRESSED ?
-	    LOOK_PRESSED_MS :
-	    LOOK_SHARED_MS;
+		return worker->draining ? POLL_DRAINING_MS : POLL_WAIT_MS;
+	return worker->late_since_ms != 0 ||
+		worker->load_ratio > HIGH_LOAD_RATIO ?
+	    POLL_HIGH_LOAD_MS :
+	    POLL_SHARED_MS;
 }
 
 /*
- * Nothing there can't wait: where the link is full, its look comes later, and
- * brings what ended meanwhile at once.
+ * Whether polls of the worker can wait while the link is full.  A delayed poll
+ * returns the ends since the last one at once.
  */
 static bool
-is_calm(const struct sched_worker *worker)
+can_wait(const struct sched_worker *worker)
 {
 	return worker->fenced && worker->misses == 0 && worker->unneeded == 0 &&
 	    SLIST_EMPTY(&worker->strays) && worker->late_since_ms == 0 &&
-	    worker->pressure <= PRESSED && !worker->draining;
+	    worker->load_ratio <= HIGH_LOAD_RATIO && !worker->draining;
 }
 
 static void
-look_if_due(struct sched *s, struct sched_worker *worker, int64_t now_ms)
+poll_if_due(struct sched *s, struct sched_worker *worker, int64_t now_ms)
 {
 	int64_t due_ms;
 
 	if (worker->poll_pending || worker->dead)
 		return;
 	due_ms = worker->next_poll_ms;
-	if (s->link_full && is_calm(worker) &&
-	    due_ms < worker->poll_sent_ms + LOOK_CALM_MS)
-		due_ms = worker->poll_sent_ms + LOOK_CALM_MS;
-	/* It would answer at once with the ends that it has told. */
+	if (s->link_full && can_wait(worker) &&
+	    due_ms < worker->poll_sent_ms + POLL_LINK_FULL_MS)
+		due_ms = worker->poll_sent_ms + POLL_LINK_FULL_MS;
+	/* The worker would answer at once, with the same ends. */
 	if (!STAILQ_EMPTY(&worker->ends) &&
-	    due_ms < worker->poll_sent_ms + LOOK_UNSAVED_MS)
-		due_ms = worker->poll_sent_ms + LOOK_UNSAVED_MS;
+	    due_ms < worker->poll_sent_ms + POLL_UNSAVED_MS)
+		due_ms = worker->poll_sent_ms + POLL_UNSAVED_MS;
 	if (now_ms < due_ms)
 		sched_due(s, due_ms);
 	else
-		send_look(s, worker, look_wait(worker), now_ms);
+		send_poll(s, worker, poll_wait_ms(worker), now_ms);
 }
 
 void
@@ -326,30 +334,30 @@
 	worker_schedule(s, worker);
 	if (worker->misses++ == 0)
 		worker->silent_ms = now_ms;
-	worker->next_poll_ms = now_ms + LOOK_RETRY_MS * worker->misses;
+	worker->next_poll_ms = now_ms + POLL_RETRY_MS * worker->misses;
 }
 
 static void
-check_lapse(struct sched *s, struct sched_worker *worker, int64_t now_ms)
+check_expiry(struct sched *s, struct sched_worker *worker, int64_t now_ms)
 {
-	int64_t lapses_ms;
+	int64_t expiry_ms;
 
 	if (worker->lapsed || (worker->misses == 0 && worker->fenced))
 		return;
-	lapses_ms = lease_expiry_ms(s, worker);
-	if (now_ms < lapses_ms) {
-		sched_due(s, lapses_ms);
+	expiry_ms = lease_expiry_ms(s, worker);
+	if (now_ms < expiry_ms) {
+		sched_due(s, expiry_ms);
 		return;
 	}
 	worker->unneeded = 0;
 	worker_drop_strays(worker);
 	s->opt.actions->lapsed(
-	    s, worker, drop_runs(s, worker, LOSS_LAPSED, now_ms), s->opt.ctx);
+	    s, worker, settle_runs(s, worker, LOSS_LAPSED, now_ms), s->opt.ctx);
 	worker->lapsed = true;
 }
 
 static bool
-may_be_forgotten(const struct sched_worker *worker, int64_t now_ms)
+is_removable(const struct sched_worker *worker, int64_t now_ms)
 {
 	if (worker->listed || worker->poll_pending ||
 	    !TAILQ_EMPTY(&worker->runs) || !STAILQ_EMPTY(&worker->ends))
@@ -359,14 +367,14 @@
 	    (worker->heard_ms != 0 && now_ms - worker->heard_ms > FORGET_MS);
 }
 
-/* false: it was forgotten. */
+/* false: the worker was removed. */
 static bool
-worker_step(struct sched *s, struct sched_worker *worker, int64_t now_ms)
+worker_run(struct sched *s, struct sched_worker *worker, int64_t now_ms)
 {
 	worker_acknowledge(worker);
-	check_lapse(s, worker, now_ms);
+	check_expiry(s, worker, now_ms);
 	lease_update_record(s, worker, now_ms);
-	if (may_be_forgotten(worker, now_ms)) {
+	if (is_removable(worker, now_ms)) {
 		crash_idle_worker_lost(s, worker);
 		s->opt.actions->forget_worker(s, worker, s->opt.ctx);
 		worker_free(s, worker);
@@ -374,32 +382,34 @@
 	}
 	run_step(s, worker, now_ms);
 	health_check_progress(s, worker, now_ms);
-	look_if_due(s, worker, now_ms);
+	poll_if_due(s, worker, now_ms);
 	return true;
 }
 
-/* What its step finds due later is due for this worker alone. */
+/*
+ * Run one worker.  Later times that it passes to sched_due() apply to this
+ * worker alone, so s->next_ms collects them for its due_ms.
+ */
 static void
-step_one(struct sched *s, struct sched_worker *worker, int64_t now_ms)
+run_one(struct sched *s, struct sched_worker *worker, int64_t now_ms)
 {
 	int64_t others_ms, at_ms;
 
-	steps_remove(s, worker);
-	worker->step_ms = INT64_MAX;
+	due_remove(s, worker);
+	worker->due_ms = INT64_MAX;
 	others_ms = s->next_ms;
-	s->next_ms = now_ms + STEP_EVERY_MS;
-	if (worker_step(s, worker, now_ms)) {
-		at_ms = worker->step_ms == 0 ? 0 : s->next_ms;
-		steps_insert(s, worker, at_ms > now_ms ? at_ms : now_ms + 1);
+	s->next_ms = now_ms + RUN_INTERVAL_MS;
+	if (worker_run(s, worker, now_ms)) {
+		at_ms = worker->due_ms == 0 ? 0 : s->next_ms;
+		due_insert(s, worker, at_ms > now_ms ? at_ms : now_ms + 1);
 	}
 	if (others_ms < s->next_ms)
 		s->next_ms = others_ms;
 }
 
 /*
- * Only workers to which something happened, or for which something is due, are
- * stepped: in a large fleet a step of all of them after each event costs more
- * than the events do.
+ * Run only the workers that had an event or are due: in a large fleet, running
+ * all of them after each event costs more than the events do.
  */
 void
 worker_run_due(struct sched *s, int64_t now_ms)
@@ -412,8 +422,8 @@
 			worker_schedule(s, worker);
 	}
 	while ((worker = RB_MIN(sched_due_tree, &s->workers_by_due)) != NULL &&
-	    worker->step_ms <= now_ms && !s->deposed)
-		step_one(s, worker, now_ms);
+	    worker->due_ms <= now_ms && !s->deposed)
+		run_one(s, worker, now_ms);
 	if (worker != NULL)
-		sched_due(s, worker->step_ms);
+		sched_due(s, worker->due_ms);
 }
