--- a/core/learn.c
+++ b/core/learn.c
@@ -11,8 +11,8 @@
 #define PRIOR_WEIGHT 0.01
 #define PRIOR_SD 0.05
 
-static struct learn_tenant *find_present(struct learn_worker *, uint64_t);
-static struct learn_tenant *free_slot(struct learn_worker *, int64_t);
+static struct learn_tenant *find_current(struct learn_worker *, uint64_t);
+static struct learn_tenant *find_slot(struct learn_worker *, int64_t);
 
 struct learn *
 learn_open(const struct learn_options *o)
@@ -107,7 +107,7 @@
 }
 
 static struct learn_tenant *
-find_present(struct learn_worker *w, uint64_t tenant)
+find_current(struct learn_worker *w, uint64_t tenant)
 {
 	int i;
 
@@ -120,11 +120,12 @@
 }
 
 /*
- * A place for a new tenant: that of one who left longer ago than any
- * measurement still due, else a new one, else the one who left first.
+ * Find a slot for a new tenant: that of the first to end if it ended longer ago
+ * than any measurement can refer to, else an unused slot, else the first to
+ * end.  NULL if all slots hold current tenants.
  */
 static struct learn_tenant *
-free_slot(struct learn_worker *w, int64_t now_ms)
+find_slot(struct learn_worker *w, int64_t now_ms)
 {
 	struct learn_tenant *first;
 	int i;
@@ -149,9 +150,9 @@
 {
 	struct learn_tenant *t;
 
-	if (find_present(w, tenant) != NULL)
+	if (find_current(w, tenant) != NULL)
 		return;
-	if ((t = free_slot(w, now_ms)) == NULL)
+	if ((t = find_slot(w, now_ms)) == NULL)
 		return;
 	t->tenant = tenant;
 	t->kind = kind;
@@ -166,7 +167,7 @@
 {
 	struct learn_tenant *t;
 
-	if ((t = find_present(w, tenant)) == NULL)
+	if ((t = find_current(w, tenant)) == NULL)
 		return;
 	t->cpu_millis = cpu_millis;
 	w->version++;
@@ -177,7 +178,7 @@
 {
 	struct learn_tenant *t;
 
-	if ((t = find_present(w, tenant)) == NULL)
+	if ((t = find_current(w, tenant)) == NULL)
 		return;
 	t->to_ms = now_ms;
 	w->version++;
@@ -216,12 +217,12 @@
 {
 	const struct learn_tenant *t;
 
-	t = find_present(w, tenant);
+	t = find_current(w, tenant);
 	return t != NULL ? t->cpu_millis : 0;
 }
 
 void
-learn_shared_cpus(const struct learn_worker *w, uint64_t without,
+learn_shared_cpus(const struct learn_worker *w, uint64_t excluded,
     int64_t from_ms, int64_t to_ms, double cpus[LEARN_KINDS_MAX])
 {
 	const struct learn_tenant *t;
@@ -234,7 +235,7 @@
 		t = &w->tenants[i];
 		from = t->from_ms > from_ms ? t->from_ms : from_ms;
 		to = t->to_ms < to_ms ? t->to_ms : to_ms;
-		if (t->tenant == without || to < from)
+		if (t->tenant == excluded || to < from)
 			continue;
 		if (to_ms == from_ms)
 			cpus[t->kind] +=
--- a/core/learncall.c
+++ b/core/learncall.c
@@ -3,10 +3,10 @@
 
 #include "learnimpl.h"
 
-/* The latency of calls, by worker and for a service as a whole. */
+/* Latency of calls, per worker and for a service as a whole. */
 
-#define EVIDENCE_MAX 32 /* calls; more would make a mean slow to follow */
-#define EVIDENCE_OTHERS 2 /* calls that the service as a whole counts for */
+#define EVIDENCE_MAX_CALLS 32 /* more would make the mean react slowly */
+#define SERVICE_EVIDENCE_CALLS 2 /* weight of the whole service's mean */
 
 static void observe(struct learn_mean *, double, double, int64_t, int64_t);
 
@@ -33,7 +33,7 @@
     int64_t half_life_ms)
 {
 	m->evidence *= learn_decay(now_ms - m->at_ms, half_life_ms);
-	m->evidence = fmin(m->evidence + 1, EVIDENCE_MAX);
+	m->evidence = fmin(m->evidence + 1, EVIDENCE_MAX_CALLS);
 	m->ms += (ms - m->ms) / m->evidence;
 	m->slowdown += (slowdown - m->slowdown) / m->evidence;
 	m->at_ms = now_ms;
@@ -59,21 +59,22 @@
 learn_latency_ms(
     struct learn_worker *w, int kind, double fallback_ms, int64_t now_ms)
 {
-	const struct learn_mean *all;
+	const struct learn_mean *service;
 	struct learn_service *s;
-	double evidence, slowdown, expected, own;
+	double evidence, slowdown, expected, worker;
 
-	all = &w->learn->kinds[kind].latency;
+	service = &w->learn->kinds[kind].latency;
 	slowdown = log(learn_slowdown(w, kind, 0, now_ms));
-	expected = all->evidence > 0 ? all->ms * exp(slowdown - all->slowdown) :
-				       fallback_ms * exp(slowdown);
+	expected = service->evidence > 0 ?
+	    service->ms * exp(slowdown - service->slowdown) :
+	    fallback_ms * exp(slowdown);
 	if ((s = learn_service_get(w, kind)) == NULL ||
 	    s->latency.evidence <= 0)
 		return expected;
 	evidence = s->latency.evidence *
 	    learn_decay(
 		now_ms - s->latency.at_ms, w->learn->o.latency_half_life_ms);
-	own = s->latency.ms * exp(slowdown - s->latency.slowdown);
-	return (own * evidence + expected * EVIDENCE_OTHERS) /
-	    (evidence + EVIDENCE_OTHERS);
+	worker = s->latency.ms * exp(slowdown - s->latency.slowdown);
+	return (worker * evidence + expected * SERVICE_EVIDENCE_CALLS) /
+	    (evidence + SERVICE_EVIDENCE_CALLS);
 }
--- a/core/learnpair.c
+++ b/core/learnpair.c
@@ -4,30 +4,29 @@
 #include "learnimpl.h"
 
 /*
- * The slowdown of one kind by another: a linear filter with a variance for
- * each weight (a Kalman filter with its covariances left out), in the
- * logarithm of what was measured.
+ * Slowdown of one kind by another: a Kalman filter without covariances (only a
+ * variance per weight) on the logarithm of the measurements.
  */
 
-#define NOISE_VAR 0.04 /* of ln(measured): a fifth either way */
+#define NOISE_VAR 0.04 /* of ln(measured): a deviation of about 20 percent */
 #define BASE_VAR 0.25 /* of a base after its first measurement */
-#define ERROR_MAX 1.0 /* one measurement counts as no more than this */
-#define OFFSET_STEP 0.05
-#define OFFSET_MAX 0.7
+#define ERROR_MAX 1.0 /* limits the effect of one outlier, in ln(measured) */
+#define OFFSET_STEP 0.05 /* fraction of the residual */
+#define OFFSET_MAX 0.7 /* in ln(measured) */
 #define CACHE_MS 1000
-#define RUNS_MIN 3 /* tasks of a job before they teach about neighbours */
-#define RUNS_MAX 20
-#define AVOIDED 3.0 /* the share of calls falls as slowdown to this power */
+#define RUNS_MIN 3 /* tasks of a job before they update the weights */
+#define RUNS_MAX 20 /* tasks in the mean run time of a job */
+#define AVOIDANCE_EXPONENT 3.0 /* calls fall as 1 / slowdown to this power */
 
 struct learn_fit {
-	struct learn_weight at[LEARN_KINDS_MAX]; /* pairs, as of now */
+	struct learn_weight weights[LEARN_KINDS_MAX]; /* decayed to now */
 	double cpus[LEARN_KINDS_MAX];
 	double sum; /* ln(slowdown) predicted */
-	double variance; /* of the whole prediction */
+	double variance; /* of the prediction */
 };
 
 static void predict(const struct learn *, int, int64_t, struct learn_fit *);
-static double correct(
+static double update_weights(
     struct learn *, int, double, int64_t, struct learn_fit *, double);
 static double slowdown_now(const struct learn_worker *, int, uint64_t, int64_t);
 
@@ -35,7 +34,7 @@
 learn_pair_now(const struct learn *l, int victim, int cause, int64_t now_ms)
 {
 	struct learn_weight w;
-	double left, prior_var;
+	double decay, prior_var;
 
 	w = l->pairs[victim][cause];
 	prior_var = l->o.prior_sd * l->o.prior_sd;
@@ -44,9 +43,9 @@
 		w.var = prior_var;
 		return w;
 	}
-	left = learn_decay(now_ms - w.at_ms, l->o.half_life_ms);
-	w.mean = l->o.prior_weight + (w.mean - l->o.prior_weight) * left;
-	w.var = prior_var - (prior_var - w.var) * left;
+	decay = learn_decay(now_ms - w.at_ms, l->o.half_life_ms);
+	w.mean = l->o.prior_weight + (w.mean - l->o.prior_weight) * decay;
+	w.var = prior_var - (prior_var - w.var) * decay;
 	return w;
 }
 
@@ -72,18 +71,19 @@
 	for (k = 0; k < l->nkinds; k++) {
 		if (f->cpus[k] <= 0)
 			continue;
-		f->at[k] = learn_pair_now(l, victim, k, now_ms);
-		f->sum += f->at[k].mean * f->cpus[k];
-		f->variance += f->at[k].var * f->cpus[k] * f->cpus[k];
+		f->weights[k] = learn_pair_now(l, victim, k, now_ms);
+		f->sum += f->weights[k].mean * f->cpus[k];
+		f->variance += f->weights[k].var * f->cpus[k] * f->cpus[k];
 	}
 }
 
 /*
- * Take in y = ln(measured) for a victim, given who shared the VM.  Returns
- * what is left unexplained.
+ * Update the filter with y = ln(measured) of a victim, given the processors of
+ * each kind that shared the VM in f->cpus.  Returns the residual, scaled by
+ * the fraction of the variance that is noise; 0 for the first measurement.
  */
 static double
-correct(struct learn *l, int victim, double y, int64_t now_ms,
+update_weights(struct learn *l, int victim, double y, int64_t now_ms,
     struct learn_fit *f, double offset)
 {
 	struct learn_kind *v;
@@ -106,10 +106,10 @@
 	for (k = 0; k < l->nkinds; k++) {
 		if (f->cpus[k] <= 0)
 			continue;
-		gain = f->at[k].var * f->cpus[k] / f->variance;
+		gain = f->weights[k].var * f->cpus[k] / f->variance;
 		w = &l->pairs[victim][k];
-		w->mean = fmax(0, f->at[k].mean + gain * error);
-		w->var = f->at[k].var * (1 - gain * f->cpus[k]);
+		w->mean = fmax(0, f->weights[k].mean + gain * error);
+		w->var = f->weights[k].var * (1 - gain * f->cpus[k]);
 		w->at_ms = now_ms > 0 ? now_ms : 1;
 	}
 	gain = v->base.var / f->variance;
@@ -124,18 +124,20 @@
 {
 	struct learn_service *s;
 	struct learn_fit f;
-	double left, offset;
+	double residual, offset;
 
 	if (p99_ms <= 0 || (s = learn_service_get(w, kind)) == NULL)
 		return;
 	/*
-	 * Who shares the VM now may have come after the measurement.  To blame
-	 * it would evict the innocent and let the cause go elsewhere.
+	 * Tenants that share the VM now may have started after the measurement.
+	 * Attributing it to them would evict the wrong tasks and spare the
+	 * cause.
 	 */
 	learn_shared_cpus(w, 0, measured_ms - window_ms, measured_ms, f.cpus);
 	f.cpus[kind] = 0;
-	left = correct(w->learn, kind, log(p99_ms), measured_ms, &f, s->offset);
-	offset = s->offset + OFFSET_STEP * left;
+	residual = update_weights(
+	    w->learn, kind, log(p99_ms), measured_ms, &f, s->offset);
+	offset = s->offset + OFFSET_STEP * residual;
 	s->offset = fmax(-OFFSET_MAX, fmin(OFFSET_MAX, offset));
 }
 
@@ -152,7 +154,7 @@
 	predict(w->learn, kind, ended_ms, &f);
 	y = log((double)elapsed_ms / (double)declared_ms);
 	if (job->run.count >= RUNS_MIN)
-		(void)correct(
+		(void)update_weights(
 		    w->learn, kind, y - job->run.mean, ended_ms, &f, 0);
 	job->run.count = fmin(job->run.count + 1, RUNS_MAX);
 	job->run.mean += (y - f.sum - job->run.mean) / job->run.count;
@@ -160,7 +162,7 @@
 
 static double
 slowdown_now(
-    const struct learn_worker *w, int victim, uint64_t without, int64_t now_ms)
+    const struct learn_worker *w, int victim, uint64_t excluded, int64_t now_ms)
 {
 	const struct learn_tenant *t;
 	double sum;
@@ -169,7 +171,7 @@
 	sum = 0;
 	for (i = 0; i < w->ntenants; i++) {
 		t = &w->tenants[i];
-		if (t->to_ms != INT64_MAX || t->tenant == without ||
+		if (t->to_ms != INT64_MAX || t->tenant == excluded ||
 		    (t->kind == victim && w->learn->kinds[victim].service))
 			continue;
 		sum += learn_pair_now(w->learn, victim, t->kind, now_ms).mean *
@@ -232,7 +234,7 @@
 		if (l->kinds[t->kind].service)
 			impact->services += on.mean * cpus *
 			    pow(learn_slowdown(w, t->kind, 0, now_ms),
-				-AVOIDED);
+				-AVOIDANCE_EXPONENT);
 		else
 			impact->tasks += on.mean * cpus;
 		impact->tasks +=
--- a/core/learnsize.c
+++ b/core/learnsize.c
@@ -2,22 +2,23 @@
 
 #include "learnimpl.h"
 
-/* Used against declared sizes. */
+/* Ratio of used to declared resources. */
 
-#define JOB_MEASURED 2 /* measurements before a job's own count */
-#define KIND_MEASURED 5 /* and its kind's */
-#define RECLAIM_MEASURED 2 /* and before less than declared is reserved */
-#define RATIO_MEMORY 20 /* measurements that a mean remembers */
+#define JOB_SAMPLES_MIN 2 /* measurements before a job's ratio is used */
+#define KIND_SAMPLES_MIN 5 /* measurements before a kind's ratio is used */
+#define RECLAIM_SAMPLES_MIN 2 /* measurements before CPU is reclaimed */
+#define RATIO_SAMPLES_MAX 20 /* measurements that a mean averages over */
 #define RATIO_MIN 0.05
 #define RATIO_MAX 20.0
-#define RESERVE_MAX 4.0 /* times the declared size */
-#define RECLAIM_MIN 0.25
-#define AS_DECLARED 1.02 /* used / declared, taken as no more than 1 */
-#define SCATTER 0.1
-#define SPREADS 2.0 /* kept above the mean */
+#define RESERVE_RATIO_MAX 4.0 /* reserved / declared */
+#define RECLAIM_RATIO_MIN 0.25 /* reserved / declared, with reclaim_cpu */
+#define ACCURATE_RATIO_MAX 1.02 /* up to this, usage counts as declared */
+#define ACCURATE_SPREAD_MAX 0.1
+#define MARGIN_SPREADS 2.0 /* margin above the mean, in deviations */
 
 static void observe(struct learn_ratio *, int64_t, int64_t);
-static double expected(const struct learn_ratio *, const struct learn_ratio *);
+static double expected_ratio(
+    const struct learn_ratio *, const struct learn_ratio *);
 static int64_t scaled(int64_t, double, int64_t);
 
 static void
@@ -29,7 +30,7 @@
 		return;
 	ratio = (double)used / (double)declared;
 	ratio = fmax(RATIO_MIN, fmin(RATIO_MAX, ratio));
-	r->count = fmin(r->count + 1, RATIO_MEMORY);
+	r->count = fmin(r->count + 1, RATIO_SAMPLES_MAX);
 	r->spread += (fabs(ratio - r->mean) - r->spread) / r->count;
 	if (r->count == 1)
 		r->spread = 0;
@@ -49,21 +50,23 @@
 	observe(&k->memory, declared->memory_mib, used->memory_mib);
 }
 
-/* The ratio to expect, the job's own evidence first. */
+/* The expected ratio: that of the job, else that of its kind. */
 static double
-expected(const struct learn_ratio *job, const struct learn_ratio *kind)
+expected_ratio(const struct learn_ratio *job, const struct learn_ratio *kind)
 {
-	if (job->count >= JOB_MEASURED) {
+	if (job->count >= JOB_SAMPLES_MIN) {
 		/*
-		 * Measurements scatter.  To add their spread for a job that
-		 * uses what it declares would leave a task's worth of room
-		 * unused on many VMs.
+		 * Measurements vary.  Reserving a margin beyond the declared
+		 * size for a job that uses what it declares would leave room
+		 * for one task unused on many VMs.
 		 */
-		if (job->mean <= AS_DECLARED && job->spread < SCATTER)
-			return fmin(1, job->mean + SPREADS * job->spread);
-		return job->mean + SPREADS * job->spread;
+		if (job->mean <= ACCURATE_RATIO_MAX &&
+		    job->spread < ACCURATE_SPREAD_MAX)
+			return fmin(
+			    1, job->mean + MARGIN_SPREADS * job->spread);
+		return job->mean + MARGIN_SPREADS * job->spread;
 	}
-	if (kind->count >= KIND_MEASURED)
+	if (kind->count >= KIND_SAMPLES_MIN)
 		return kind->mean;
 	return 1;
 }
@@ -71,7 +74,7 @@
 int64_t
 learn_run_ms(const struct learn_job *job, int64_t declared_ms)
 {
-	if (job->run.count < JOB_MEASURED)
+	if (job->run.count < JOB_SAMPLES_MIN)
 		return declared_ms;
 	return (int64_t)((double)declared_ms * exp(job->run.mean));
 }
@@ -81,7 +84,7 @@
 {
 	int64_t size;
 
-	size = (int64_t)ceil((double)declared * fmin(ratio, RESERVE_MAX));
+	size = (int64_t)ceil((double)declared * fmin(ratio, RESERVE_RATIO_MAX));
 	if (largest >= 0 && size > largest && largest >= declared)
 		size = largest;
 	return size;
@@ -96,16 +99,16 @@
 	double cpu, memory, least;
 
 	k = &l->kinds[kind];
-	cpu = expected(&job->cpu, &k->cpu);
-	memory = expected(&job->memory, &k->memory);
+	cpu = expected_ratio(&job->cpu, &k->cpu);
+	memory = expected_ratio(&job->memory, &k->memory);
 	/*
-	 * A worker holds a task to its limit, so too small a guess costs time
-	 * for processors but kills the task for memory: memory is never
-	 * reserved below the declared size.
+	 * A worker enforces the reserved size as a limit.  Too little CPU slows
+	 * a task down, but too little memory kills it: memory is never reserved
+	 * below the declared size.
 	 */
 	least = 1;
-	if (reclaim_cpu && job->cpu.count >= RECLAIM_MEASURED)
-		least = RECLAIM_MIN;
+	if (reclaim_cpu && job->cpu.count >= RECLAIM_SAMPLES_MIN)
+		least = RECLAIM_RATIO_MIN;
 	reserved->cpu_millis = scaled(declared->cpu_millis, fmax(least, cpu),
 	    largest != NULL ? largest->cpu_millis : -1);
 	reserved->memory_mib = scaled(declared->memory_mib, fmax(1, memory),
--- a/core/ledger.c
+++ b/core/ledger.c
@@ -8,7 +8,7 @@
 static enum ledger_error task_add(struct ledger *, struct ledger_task *);
 static bool valid_id(const char *);
 static void worker_free(struct ledger_worker *);
-static void job_forget(struct ledger *, struct ledger_job *);
+static void job_free(struct ledger *, struct ledger_job *);
 static size_t cancel_task(struct ledger *, struct ledger_task *);
 
 RB_GENERATE(ledger_tree, ledger_task, by_id, ledger_task_cmp)
@@ -129,7 +129,7 @@
 }
 
 static void
-job_forget(struct ledger *l, struct ledger_job *job)
+job_free(struct ledger *l, struct ledger_job *job)
 {
 	TAILQ_REMOVE(&l->jobs, job, link);
 	free(job);
@@ -182,7 +182,7 @@
 		ledger_insert_pending(l, t);
 		return LEDGER_OK;
 	}
-	/* The VM list may lag behind the record: know the worker anyway. */
+	/* The VM list may lag behind the record: add the worker anyway. */
 	if ((w = ledger_worker_find(l, r->worker)) == NULL)
 		w = ledger_worker_set(
 		    l, r->worker, &(struct resources){ 0, 0, 0 }, 0);
@@ -434,7 +434,7 @@
 	TAILQ_FOREACH_SAFE(job, &l->jobs, link, next_job)
 	{
 		if (job->removed_at != 0 && job->removed_at <= l->committed)
-			job_forget(l, job);
+			job_free(l, job);
 	}
 }
 
@@ -450,10 +450,10 @@
 const char *
 ledger_strerror(enum ledger_error error)
 {
-	static const char *const texts[] = { "ok", "no memory",
-		"identifier is empty or too long", "there already",
-		"not possible in this state", "worker takes no tasks",
-		"no room" };
+	static const char *const texts[] = { "ok", "out of memory",
+		"identifier is empty or too long", "already exists",
+		"not allowed in this state", "worker accepts no tasks",
+		"no room on the worker" };
 
 	return texts[error];
 }
--- a/core/ledger_answer.c
+++ b/core/ledger_answer.c
@@ -3,32 +3,35 @@
 
 #include "ledger_int.h"
 
-/* Answers of workers. */
+/* Handles the answers of workers to calls. */
 
 #define BACKOFF_SHIFT_MAX 6
 
-static struct ledger_task *attempt_of(
+static struct ledger_task *find_attempt(
     struct ledger *, const char *, uint32_t, enum task_call);
-static void heard(struct ledger_worker *, int64_t);
-static void silent(struct ledger *, struct ledger_worker *);
-static void finish(
+static void note_answer(struct ledger_worker *, int64_t);
+static void note_no_answer(struct ledger *, struct ledger_worker *);
+static void end_attempt(
     struct ledger *, struct ledger_task *, enum task_outcome, int64_t);
-static void take_finish(struct ledger *, struct ledger_worker *,
+static void apply_finish(struct ledger *, struct ledger_worker *,
     const struct ledger_report *, int64_t);
-static void note_ack(
+static void add_ack(
     struct ledger *, struct ledger_worker *, const struct ledger_report *);
-static void forget_acks(struct ledger_worker *);
-static void refused_start(struct ledger *, struct ledger_task *, int64_t);
-static bool listed(
+static void free_sent_acks(struct ledger_worker *);
+static void start_refused(struct ledger *, struct ledger_task *, int64_t);
+static bool is_listed(
     const struct ledger_report *, size_t, const struct ledger_task *);
-static void adopt(struct ledger_task *, int64_t);
+static void note_running(struct ledger_task *, int64_t);
 static void stop_strays(struct ledger *, struct ledger_worker *,
     const struct ledger_report *, size_t, int64_t);
-static void settle_fence(struct ledger *, struct ledger_task *, bool, int64_t);
+static void apply_fence(struct ledger *, struct ledger_task *, bool, int64_t);
 
-/* The task if the answer is about its present attempt and call. */
+/*
+ * Find the task that an answer belongs to.  NULL if it isn't about the current
+ * attempt and the call in flight.
+ */
 static struct ledger_task *
-attempt_of(
+find_attempt(
     struct ledger *l, const char *task, uint32_t attempt, enum task_call call)
 {
 	struct ledger_task *t;
@@ -43,25 +46,25 @@
 }
 
 static void
-heard(struct ledger_worker *w, int64_t now_ms)
+note_answer(struct ledger_worker *w, int64_t now_ms)
 {
 	w->heard_ms = now_ms;
 	w->unanswered_calls = 0;
 }
 
 static void
-silent(struct ledger *l, struct ledger_worker *w)
+note_no_answer(struct ledger *l, struct ledger_worker *w)
 {
 	if (++w->unanswered_calls >= l->opt.lost_after)
 		w->lost = true;
 }
 
 static void
-refused_start(struct ledger *l, struct ledger_task *t, int64_t now_ms)
+start_refused(struct ledger *l, struct ledger_task *t, int64_t now_ms)
 {
 	t->retry_at_ms = now_ms + l->opt.retry_ms;
 	t->reason = "worker_has_no_room";
-	/* An earlier start without an answer may still arrive there. */
+	/* An earlier, unanswered start may still reach the worker. */
 	if (t->repeat)
 		return;
 	t->run = RUN_NO;
@@ -77,7 +80,7 @@
 {
 	struct ledger_task *t;
 
-	if ((t = attempt_of(l, task, attempt, CALL_START)) == NULL)
+	if ((t = find_attempt(l, task, attempt, CALL_START)) == NULL)
 		return;
 	t->call = CALL_NONE;
 	if (result == RESULT_NOT_READY) {
@@ -87,7 +90,7 @@
 		return;
 	}
 	if (result == RESULT_NO_ANSWER || result == RESULT_NOT_SENT) {
-		silent(l, t->worker);
+		note_no_answer(l, t->worker);
 		if (t->run == RUN_YES)
 			return;
 		t->retry_at_ms = now_ms + l->opt.retry_ms;
@@ -95,15 +98,15 @@
 			t->run = RUN_NO;
 		return;
 	}
-	heard(t->worker, now_ms);
+	note_answer(t->worker, now_ms);
 	if (result == RESULT_OK) {
-		adopt(t, now_ms);
+		note_running(t, now_ms);
 	} else if (result == RESULT_STALE) {
-		/* Stopped or finished there: the fence's list tells which. */
+		/* Stopped or finished: the next fence tells which. */
 		t->run = RUN_STOPPED;
 		t->fence_covers = false;
 	} else if (t->run != RUN_YES)
-		refused_start(l, t, now_ms);
+		start_refused(l, t, now_ms);
 }
 
 void
@@ -112,22 +115,23 @@
 {
 	struct ledger_task *t;
 
-	if ((t = attempt_of(l, task, attempt, CALL_STOP)) == NULL)
+	if ((t = find_attempt(l, task, attempt, CALL_STOP)) == NULL)
 		return;
 	t->call = CALL_NONE;
 	if (result == RESULT_NO_ANSWER || result == RESULT_NOT_SENT) {
-		silent(l, t->worker);
+		note_no_answer(l, t->worker);
 		t->retry_at_ms = now_ms + l->opt.retry_ms;
 		return;
 	}
-	heard(t->worker, now_ms);
+	note_answer(t->worker, now_ms);
 	if (result != RESULT_OK && result != RESULT_STALE) {
 		t->retry_at_ms = now_ms + l->opt.retry_ms;
 		return;
 	}
 	/*
-	 * It may have finished just before the stop.  Running it again would
-	 * double the work, so the worker's list of finishes is asked first.
+	 * It may have finished just before the stop.  Fence the worker for its
+	 * list of finished attempts before running the task again, which would
+	 * otherwise repeat completed work.
 	 */
 	t->run = RUN_STOPPED;
 	t->fence_covers = false;
@@ -140,18 +144,18 @@
 {
 	struct ledger_task *t;
 
-	t = attempt_of(l, task, attempt, CALL_CHECKPOINT);
+	t = find_attempt(l, task, attempt, CALL_CHECKPOINT);
 	if (t == NULL)
 		return;
 	t->call = CALL_NONE;
 	if (result == RESULT_NO_ANSWER || result == RESULT_NOT_SENT) {
-		silent(l, t->worker);
+		note_no_answer(l, t->worker);
 		t->retry_at_ms = now_ms + l->opt.retry_ms;
 		return;
 	}
-	heard(t->worker, now_ms);
+	note_answer(t->worker, now_ms);
 	if (result != RESULT_OK) {
-		/* It can't be checkpointed, or is over: stop and look. */
+		/* Not checkpointable, or ended: stop it to find out. */
 		t->want = WANT_STOP;
 		return;
 	}
@@ -162,7 +166,7 @@
 }
 
 static void
-finish(struct ledger *l, struct ledger_task *t, enum task_outcome outcome,
+end_attempt(struct ledger *l, struct ledger_task *t, enum task_outcome outcome,
     int64_t now_ms)
 {
 	uint32_t shift;
@@ -188,9 +192,9 @@
 	t->retry_at_ms = now_ms + (l->opt.retry_ms << shift);
 }
 
-/* Keep one note for each finish, however often the worker repeats it. */
+/* Record one acknowledgement per finish, however often it is reported. */
 static void
-note_ack(struct ledger *l, struct ledger_worker *w,
+add_ack(struct ledger *l, struct ledger_worker *w,
     const struct ledger_report *report)
 {
 	struct ledger_ack *ack;
@@ -201,17 +205,17 @@
 			return;
 	}
 	if ((ack = calloc(1, sizeof(*ack))) == NULL)
-		return; /* the worker repeats the finish */
+		return; /* the worker reports the finish again */
 	strlcpy(ack->task, report->task, sizeof(ack->task));
 	ack->attempt = report->attempt;
-	/* Not before the store has what the finish changed. */
+	/* Acknowledge once the store has confirmed this change. */
 	ack->changed_at = l->change;
 	TAILQ_INSERT_TAIL(&w->acks, ack, link);
 }
 
-/* The worker has been told of these. */
+/* Free the acknowledgements that the worker has received. */
 static void
-forget_acks(struct ledger_worker *w)
+free_sent_acks(struct ledger_worker *w)
 {
 	struct ledger_acks all;
 	struct ledger_ack *ack;
@@ -228,19 +232,19 @@
 }
 
 static void
-take_finish(struct ledger *l, struct ledger_worker *w,
+apply_finish(struct ledger *l, struct ledger_worker *w,
     const struct ledger_report *report, int64_t now_ms)
 {
 	struct ledger_task *t;
 
 	t = ledger_find_id(l, report->task);
 	if (t != NULL && t->worker == w && t->r.attempt == report->attempt)
-		finish(l, t, report->outcome, now_ms);
-	note_ack(l, w, report);
+		end_attempt(l, t, report->outcome, now_ms);
+	add_ack(l, w, report);
 }
 
 static bool
-listed(
+is_listed(
     const struct ledger_report *reports, size_t n, const struct ledger_task *t)
 {
 	char id[LEDGER_TASK_ID_MAX];
@@ -255,9 +259,12 @@
 	return false;
 }
 
-/* It runs: count its room even if the ledger thought there was none. */
+/*
+ * Note that the attempt runs.  Its resources are in use, so they are counted
+ * even beyond the capacity of the worker.
+ */
 static void
-adopt(struct ledger_task *t, int64_t now_ms)
+note_running(struct ledger_task *t, int64_t now_ms)
 {
 	if (t->run != RUN_YES)
 		t->running_since_ms = now_ms;
@@ -290,22 +297,22 @@
 }
 
 static void
-settle_fence(struct ledger *l, struct ledger_task *t, bool runs, int64_t now_ms)
+apply_fence(struct ledger *l, struct ledger_task *t, bool runs, int64_t now_ms)
 {
 	if (!t->fence_covers && t->run != RUN_UNFENCED) {
 		if (runs && t->run == RUN_MAYBE)
-			adopt(t, now_ms);
+			note_running(t, now_ms);
 		return;
 	}
 	if (runs) {
-		adopt(t, now_ms);
+		note_running(t, now_ms);
 	} else if (t->run == RUN_STOPPED) {
 		if (t->want == WANT_STOP)
 			t->r.evictions++;
 		ledger_unbind(
 		    l, t, t->want == WANT_RUN ? "interrupted" : t->reason);
 	} else {
-		/* Not there: the same attempt may be started again. */
+		/* Not on the worker: the attempt may be started again. */
 		t->run = RUN_NO;
 		t->retry_at_ms = 0;
 	}
@@ -325,12 +332,12 @@
 	w->fenced = true;
 	w->lost = false;
 	l->bind_at_ms = 0;
-	heard(w, now_ms);
+	note_answer(w, now_ms);
 	for (i = 0; i < nfinished; i++)
-		take_finish(l, w, &finished[i], now_ms);
+		apply_finish(l, w, &finished[i], now_ms);
 	TAILQ_FOREACH_SAFE(t, &w->tasks, link, next)
 	{
-		settle_fence(l, t, listed(running, nrunning, t), now_ms);
+		apply_fence(l, t, is_listed(running, nrunning, t), now_ms);
 		t->fence_covers = false;
 	}
 	stop_strays(l, w, running, nrunning, now_ms);
@@ -344,7 +351,7 @@
 	w->fence_call = false;
 	w->fence_wanted = true;
 	w->fence_at_ms = now_ms + l->opt.retry_ms;
-	silent(l, w);
+	note_no_answer(l, w);
 }
 
 void
@@ -359,22 +366,22 @@
 		return;
 	w->renew_call = false;
 	w->renew_at_ms = now_ms + l->opt.renew_ms;
-	heard(w, now_ms);
-	forget_acks(w);
+	note_answer(w, now_ms);
+	free_sent_acks(w);
 	for (i = 0; i < nfinished; i++)
-		take_finish(l, w, &finished[i], now_ms);
+		apply_finish(l, w, &finished[i], now_ms);
 	TAILQ_FOREACH_SAFE(t, &w->tasks, link, next)
 	{
-		if (listed(running, nrunning, t)) {
+		if (is_listed(running, nrunning, t)) {
 			if (t->run == RUN_MAYBE)
-				adopt(t, now_ms);
+				note_running(t, now_ms);
 		} else if (t->run == RUN_YES && t->call == CALL_NONE &&
 		    t->running_since_ms < w->renew_sent_ms) {
-			/* It ought to be there: ask for an exact list. */
+			/* It is missing: fence again for an exact list. */
 			w->fence_wanted = true;
 		}
 	}
-	/* A worker repeats a finish at once until it is acknowledged. */
+	/* Acknowledge soon: the worker repeats its reports until then. */
 	if (!TAILQ_EMPTY(&w->acks))
 		w->renew_at_ms = now_ms + l->opt.retry_ms;
 	stop_strays(l, w, running, nrunning, now_ms);
@@ -387,5 +394,5 @@
 		return;
 	w->renew_call = false;
 	w->renew_at_ms = now_ms + l->opt.retry_ms;
-	silent(l, w);
+	note_no_answer(l, w);
 }
--- a/core/ledger_commit.c
+++ b/core/ledger_commit.c
@@ -2,8 +2,8 @@
 
 #include "ledger_int.h"
 
-static void commit_to(struct ledger *, uint64_t, int64_t, int64_t, int64_t);
-static bool is_ours(const struct ledger *, const struct ledger_head *);
+static void apply_commit(struct ledger *, uint64_t, int64_t, int64_t, int64_t);
+static bool is_own_write(const struct ledger *, const struct ledger_head *);
 static bool all_fenced(struct ledger *);
 
 void
@@ -24,7 +24,7 @@
 ledger_release(struct ledger *l, int64_t now_ms)
 {
 	if (l->phase == LEDGER_ACQUIRING) {
-		/* Nothing was sent in its name; the next owner outbids it. */
+		/* No call was sent; the next owner's epoch supersedes this. */
 		ledger_end_ownership(l, LOST_RELEASED);
 		return;
 	}
@@ -44,8 +44,9 @@
 }
 
 /*
- * A next owner may skip the wait for leases that some former owner could
- * still renew only if every worker with tasks has refused all of them.
+ * Whether every worker with tasks has been fenced, so that it refuses all
+ * former owners.  Only then may the next owner skip the wait for leases that a
+ * former owner could still renew.
  */
 static bool
 all_fenced(struct ledger *l)
@@ -94,8 +95,8 @@
 }
 
 static void
-commit_to(struct ledger *l, uint64_t change, int64_t revision, int64_t sent_ms,
-    int64_t now_ms)
+apply_commit(struct ledger *l, uint64_t change, int64_t revision,
+    int64_t sent_ms, int64_t now_ms)
 {
 	l->revision = revision;
 	l->committed = change;
@@ -118,7 +119,7 @@
 {
 	if (l->write != WRITE_SENT)
 		return;
-	commit_to(l, l->written, revision, sent_ms, now_ms);
+	apply_commit(l, l->written, revision, sent_ms, now_ms);
 }
 
 void
@@ -134,10 +135,10 @@
 	if (l->write != WRITE_SENT)
 		return;
 	/*
-	 * The write may have taken effect, or may do so later.  Building on
-	 * either guess could start a task that the record has elsewhere.
-	 * Until the record is read back nothing more is written or bound;
-	 * what an earlier write confirmed isn't touched by this and goes on.
+	 * The write may have taken effect, or may do so later.  Assuming
+	 * either could start a task that the record has on another worker.
+	 * Until the record is read back, nothing more is written or bound.
+	 * Tasks whose binds were committed earlier aren't affected.
 	 */
 	l->write = WRITE_UNKNOWN;
 	l->store_away = true;
@@ -154,9 +155,9 @@
 	l->write_at_ms = now_ms + l->opt.retry_ms;
 }
 
-/* A write of this ownership: it can be one whose answer was lost. */
+/* Whether the header is from a write of this ownership that got no answer. */
 static bool
-is_ours(const struct ledger *l, const struct ledger_head *head)
+is_own_write(const struct ledger *l, const struct ledger_head *head)
 {
 	if (head->epoch != l->epoch || head->change > l->written)
 		return false;
@@ -182,15 +183,15 @@
 	l->store_away = false;
 	if (revision == l->revision) {
 		/*
-		 * Not in effect.  It still may be, later: the next write
-		 * compares the same revision, so only one of them can be.
+		 * The write hasn't taken effect, but still may.  The next write
+		 * compares the same revision, so only one of them can succeed.
 		 */
 		if (l->write == WRITE_UNKNOWN)
 			l->write = WRITE_IDLE;
 		if (l->phase != LEDGER_ACQUIRING && sent_ms > l->confirmed_ms)
 			l->confirmed_ms = sent_ms;
-	} else if (is_ours(l, head)) {
-		commit_to(l, head->change, revision, sent_ms, now_ms);
+	} else if (is_own_write(l, head)) {
+		apply_commit(l, head->change, revision, sent_ms, now_ms);
 	} else {
 		ledger_end_ownership(l, LOST_OWNER);
 		return;
@@ -211,9 +212,9 @@
 }
 
 void
-ledger_set_store_available(struct ledger *l, bool answers)
+ledger_set_store_available(struct ledger *l, bool available)
 {
-	l->store_away = !answers;
+	l->store_away = !available;
 }
 
 bool
@@ -221,7 +222,7 @@
 {
 	/*
 	 * An owner that the store hasn't confirmed for hold_ms may have been
-	 * replaced, and the next owner counts on it having stopped.
+	 * replaced, and the next owner relies on it having stopped by then.
 	 */
 	return l->phase == LEDGER_OWNED && !l->doubt &&
 	    now_ms + l->opt.margin_ms < l->confirmed_ms + l->opt.hold_ms;
--- a/core/ledger_int.h
+++ b/core/ledger_int.h
@@ -3,30 +3,30 @@
 
 #include "ledger.h"
 
-/* What the files of the ledger share. */
+/* Shared by the ledger's source files only. */
 
-/* Note that the task's record changed. */
+/* Record a change to the task's stored fields. */
 void ledger_changed(struct ledger *, struct ledger_task *);
-/* The task's record is what the store has confirmed. */
+/* Whether the store has confirmed the task's last change. */
 bool ledger_is_committed(const struct ledger *, const struct ledger_task *);
 
-/* The job's counts, made on first use; NULL: no memory. */
+/* The counts of a job, created on first use; NULL if out of memory. */
 struct ledger_job *ledger_job_get(struct ledger *, const char *id);
 
 void ledger_insert_pending(struct ledger *, struct ledger_task *);
-/* Give up the room or the waiting place that the task holds. */
+/* Release the task's reserved resources, or its place in the queue. */
 void ledger_release_room(struct ledger_task *);
 /*
- * The attempt has certainly ended: give its room back and let the task wait
- * for another one, or end it if it was cancelled.
+ * Unbind a task whose attempt has certainly ended: release its room and make
+ * it pending, or end it if it was cancelled.
  */
 void ledger_unbind(struct ledger *, struct ledger_task *, const char *reason);
-/* The task leaves the ledger in this state with the next write. */
+/* End the task in the given state; the next write removes it. */
 void ledger_end_task(
     struct ledger *, struct ledger_task *, enum task_state, const char *reason);
-/* Free what the store has confirmed as gone. */
+/* Free ended tasks, accepted items and removed jobs once committed. */
 void ledger_sweep(struct ledger *);
-/* Drop everything: nothing more is sent. */
+/* End the ownership and tell the caller; nothing more is sent. */
 void ledger_end_ownership(struct ledger *, enum ledger_lost);
 
 #endif /* LEDGER_INT_H */
--- a/core/ledger_run.c
+++ b/core/ledger_run.c
@@ -2,27 +2,27 @@
 
 #include "ledger_int.h"
 
-/* What is due now: writes, binds, starts, stops, fences, renewals. */
+/* Sends what is due: writes, binds, starts, stops, fences and renewals. */
 
-#define BIND_MISSES_MAX 64 /* tasks tried in vain in one step */
-#define MISSED_JOBS 8 /* remembered in one step */
-#define REBINDS_MAX 64 /* tasks bound elsewhere in one step */
-#define REBIND_MISSES_MAX 8
-#define URGENT_FIRST_MS 10000 /* room is kept for an urgent task so long */
+#define BIND_MISSES_MAX 64 /* failed binds per step */
+#define UNPLACED_JOBS_MAX 8 /* remembered per step */
+#define REBINDS_MAX 64 /* per step */
+#define REBIND_MISSES_MAX 8 /* failed rebinds per step */
+#define URGENT_FIRST_MS 10000 /* how long room is kept for an urgent task */
 
-/* Tasks of jobs that found no worker in this step; a ring. */
-struct missed_jobs {
-	const struct ledger_task *tasks[MISSED_JOBS];
+/* Ring of ordinary tasks, one per job, that found no worker in this step. */
+struct unplaced_jobs {
+	const struct ledger_task *tasks[UNPLACED_JOBS_MAX];
 	size_t next;
 };
 
-static bool is_plain(const struct ledger_task *);
-static const char *missed_reason(
-    const struct missed_jobs *, const struct ledger_task *);
-static void note_missed(struct missed_jobs *, const struct ledger_task *);
+static bool is_ordinary(const struct ledger_task *);
+static const char *unplaced_reason(
+    const struct unplaced_jobs *, const struct ledger_task *);
+static void add_unplaced(struct unplaced_jobs *, const struct ledger_task *);
 static void step_store(struct ledger *, int64_t);
 static void step_worker(struct ledger *, struct ledger_worker *, int64_t);
-static void step_leaving(struct ledger *, struct ledger_worker *);
+static void step_draining(struct ledger *, struct ledger_worker *);
 static void step_leases(struct ledger *, struct ledger_worker *, int64_t);
 static void step_fence(struct ledger *, struct ledger_worker *, int64_t);
 static void step_starts(struct ledger *, struct ledger_worker *, int64_t);
@@ -30,12 +30,12 @@
 static void step_renew(struct ledger *, struct ledger_worker *, int64_t);
 static void step_binds(struct ledger *, int64_t);
 static void step_rebinds(struct ledger *, int64_t);
-static bool any_room(const struct ledger *);
+static bool has_room(const struct ledger *);
 static struct ledger_worker *longest_queue(struct ledger *);
-static bool rebind(struct ledger *, struct ledger_task *, int64_t);
-static bool is_over(const struct ledger *, const struct ledger_worker *,
+static bool try_rebind(struct ledger *, struct ledger_task *, int64_t);
+static bool attempt_is_over(const struct ledger *, const struct ledger_worker *,
     const struct ledger_task *, int64_t);
-static bool urgent_first(const struct ledger *, int64_t);
+static bool keeps_room_for_urgent(const struct ledger *, int64_t);
 static bool start_due(
     const struct ledger *, const struct ledger_task *, int64_t);
 static void send_start(struct ledger *, struct ledger_task *, int64_t);
@@ -86,14 +86,14 @@
 	if (!w->fenced || w->lost)
 		return;
 	if (w->leaving)
-		step_leaving(l, w);
+		step_draining(l, w);
 	step_stops(l, w, now_ms);
 	step_starts(l, w, now_ms);
 	step_renew(l, w, now_ms);
 }
 
 static void
-step_leaving(struct ledger *l, struct ledger_worker *w)
+step_draining(struct ledger *l, struct ledger_worker *w)
 {
 	struct ledger_task *t;
 
@@ -104,11 +104,12 @@
 }
 
 /*
- * The attempt is certainly over though its worker doesn't say so.  Room is
- * given back and the task bound again only then: otherwise it runs twice.
+ * Whether the attempt has certainly ended although its worker didn't report
+ * it.  Releasing its room and binding the task again any earlier could run it
+ * twice.
  */
 static bool
-is_over(const struct ledger *l, const struct ledger_worker *w,
+attempt_is_over(const struct ledger *l, const struct ledger_worker *w,
     const struct ledger_task *t, int64_t now_ms)
 {
 	int64_t lease_ms, last_ms;
@@ -117,14 +118,14 @@
 	    now_ms >= w->gone_ms + l->opt.lease_ms + l->opt.margin_ms)
 		return true;
 	/*
-	 * A worker that paused may find up to lost_after renewals in its
-	 * buffers when it wakes.  None revives a lapsed lease, but each that
-	 * comes in time makes it last for another lease_ms.
+	 * A worker that was paused may find up to lost_after renewals in its
+	 * socket buffers when it resumes.  None revives an expired lease, but
+	 * each one that is in time extends the lease by another lease_ms.
 	 */
 	lease_ms = l->opt.lease_ms * (1 + (int64_t)l->opt.lost_after) +
 	    l->opt.margin_ms;
 	if (!w->fenced) {
-		/* A former owner may go on renewing for hold_ms. */
+		/* A former owner may renew leases for another hold_ms. */
 		last_ms = l->taken_ms + l->opt.call_timeout_ms;
 		if (!l->settled)
 			last_ms += l->opt.hold_ms;
@@ -136,9 +137,10 @@
 	if (w->heard_ms > last_ms)
 		last_ms = w->heard_ms;
 	/*
-	 * A start without an answer may wait in the buffers of a paused
-	 * worker and run when it wakes, unlike a renewal, which can't revive
-	 * a lapsed lease.  Only a long wait or the worker settles it.
+	 * An unanswered start may sit in the socket buffers of a paused worker
+	 * and run when the worker resumes, unlike a renewal, which can't revive
+	 * an expired lease.  Only a longer wait or an answer from the worker
+	 * rules that out.
 	 */
 	if (t->run == RUN_MAYBE)
 		last_ms += l->opt.hold_ms;
@@ -155,12 +157,12 @@
 	TAILQ_FOREACH_SAFE(t, &w->tasks, link, next)
 	{
 		if (t->run == RUN_NO && t->call == CALL_NONE) {
-			/* During an outage of the store it stays startable. */
+			/* Keep it startable while the store is unavailable. */
 			if (!l->store_away && w->fenced)
 				ledger_unbind(l, t, "worker_lost");
 			continue;
 		}
-		if (!is_over(l, w, t, now_ms))
+		if (!attempt_is_over(l, w, t, now_ms))
 			continue;
 		if (l->opt.actions->outcome != NULL)
 			l->opt.actions->outcome(
@@ -193,8 +195,8 @@
 	if (t->run != RUN_NO && t->run != RUN_MAYBE)
 		return false;
 	/*
-	 * Write first, then start: a start whose bind isn't in the store
-	 * could be repeated elsewhere by the next owner.
+	 * Commit the bind before sending the start: the next owner wouldn't
+	 * know of an uncommitted bind and could start the task elsewhere.
 	 */
 	return ledger_is_committed(l, t) && now_ms >= t->retry_at_ms;
 }
@@ -211,11 +213,12 @@
 }
 
 /*
- * Room that becomes free is for an urgent task that waits, not for those
- * bound ahead; but not for ever, as it may fit nowhere here.
+ * Whether free room is kept for a pending urgent task instead of going to
+ * tasks bound without room.  Limited in time, as the urgent task may not fit
+ * on any worker of this shard.
  */
 static bool
-urgent_first(const struct ledger *l, int64_t now_ms)
+keeps_room_for_urgent(const struct ledger *l, int64_t now_ms)
 {
 	const struct ledger_task *t;
 
@@ -231,8 +234,8 @@
 	struct ledger_task *t;
 	bool full;
 
-	/* Those that wait get room in order; a large one isn't passed by. */
-	full = urgent_first(l, now_ms);
+	/* Reserve in order, so that small tasks don't starve a large one. */
+	full = keeps_room_for_urgent(l, now_ms);
 	TAILQ_FOREACH (t, &w->tasks, link) {
 		if (!t->reserved && t->run != RUN_UNFENCED) {
 			full = full ||
@@ -295,50 +298,52 @@
 	l->opt.actions->renew(l, w, l->opt.ctx);
 }
 
-/* Neither urgent nor evicted nor failed: as good as others of its job. */
+/* Neither urgent nor evicted nor failed: equivalent within its job. */
 static bool
-is_plain(const struct ledger_task *t)
+is_ordinary(const struct ledger_task *t)
 {
 	return !t->r.urgent && t->r.evictions == 0 && t->r.failures == 0;
 }
 
 /*
- * Where one task of a job found no room the others find none.  Trying them
- * would use up the tries of this step, and jobs behind would never have one.
+ * Why an equivalent task of the same job found no worker in this step, or
+ * NULL.  Trying the whole job would use up the failed binds allowed per step,
+ * and jobs further back in the queue would never be tried.
  */
 static const char *
-missed_reason(const struct missed_jobs *missed, const struct ledger_task *t)
+unplaced_reason(
+    const struct unplaced_jobs *unplaced, const struct ledger_task *t)
 {
 	size_t i;
 
-	for (i = 0; i < MISSED_JOBS && is_plain(t); i++) {
-		if (missed->tasks[i] != NULL &&
-		    strcmp(missed->tasks[i]->r.job, t->r.job) == 0)
-			return missed->tasks[i]->reason;
+	for (i = 0; i < UNPLACED_JOBS_MAX && is_ordinary(t); i++) {
+		if (unplaced->tasks[i] != NULL &&
+		    strcmp(unplaced->tasks[i]->r.job, t->r.job) == 0)
+			return unplaced->tasks[i]->reason;
 	}
 	return NULL;
 }
 
 static void
-note_missed(struct missed_jobs *missed, const struct ledger_task *t)
+add_unplaced(struct unplaced_jobs *unplaced, const struct ledger_task *t)
 {
-	if (is_plain(t))
-		missed->tasks[missed->next++ % MISSED_JOBS] = t;
+	if (is_ordinary(t))
+		unplaced->tasks[unplaced->next++ % UNPLACED_JOBS_MAX] = t;
 }
 
 static void
 step_binds(struct ledger *l, int64_t now_ms)
 {
-	struct missed_jobs missed = { 0 };
+	struct unplaced_jobs unplaced = { 0 };
 	struct ledger_worker *w;
 	struct ledger_task *t, *next;
 	const char *reason;
 	int misses;
 
-	/* Nothing new is bound while the store doesn't answer. */
+	/* Don't bind while the store is unavailable. */
 	if (l->write == WRITE_UNKNOWN || l->store_away)
 		return;
-	/* What found no room finds none until something has changed. */
+	/* A task that found no room finds none until something changes. */
 	if (l->change == l->bind_change && now_ms < l->bind_at_ms)
 		return;
 	misses = 0;
@@ -346,7 +351,7 @@
 	{
 		if (now_ms < t->retry_at_ms)
 			continue;
-		if ((reason = missed_reason(&missed, t)) != NULL) {
+		if ((reason = unplaced_reason(&unplaced, t)) != NULL) {
 			t->reason = reason;
 			if (t->waits_since_ms == 0)
 				t->waits_since_ms = now_ms;
@@ -354,7 +359,7 @@
 		}
 		w = l->opt.actions->pick_worker(l, t, now_ms, l->opt.ctx);
 		if (w == NULL || ledger_bind(l, t, w) != LEDGER_OK) {
-			note_missed(&missed, t);
+			add_unplaced(&unplaced, t);
 			if (++misses >= BIND_MISSES_MAX)
 				break;
 		}
@@ -365,7 +370,7 @@
 }
 
 static bool
-any_room(const struct ledger *l)
+has_room(const struct ledger *l)
 {
 	const struct ledger_worker *w;
 
@@ -392,7 +397,7 @@
 }
 
 static bool
-rebind(struct ledger *l, struct ledger_task *t, int64_t now_ms)
+try_rebind(struct ledger *l, struct ledger_task *t, int64_t now_ms)
 {
 	struct ledger_worker *w;
 	struct resources size;
@@ -409,8 +414,8 @@
 }
 
 /*
- * Work bound early must not wait at one worker while another has nothing to
- * do.  The last of the longest queue goes, as it would start last.
+ * Rebind tasks that wait for room on one worker while another worker has room.
+ * Takes the last task of the longest queue, as it would start last.
  */
 static void
 step_rebinds(struct ledger *l, int64_t now_ms)
@@ -421,7 +426,7 @@
 
 	misses = 0;
 	for (moved = 0; moved < REBINDS_MAX; moved++) {
-		if (urgent_first(l, now_ms) || !any_room(l) ||
+		if (keeps_room_for_urgent(l, now_ms) || !has_room(l) ||
 		    (from = longest_queue(l)) == NULL)
 			return;
 		TAILQ_FOREACH_REVERSE_SAFE(
@@ -430,7 +435,7 @@
 			if (t->reserved || t->run != RUN_NO ||
 			    !ledger_is_committed(l, t))
 				continue;
-			if (rebind(l, t, now_ms))
+			if (try_rebind(l, t, now_ms))
 				break;
 			if (++misses >= REBIND_MISSES_MAX)
 				return;
--- a/core/ledger_task.c
+++ b/core/ledger_task.c
@@ -2,21 +2,22 @@
 
 #include "ledger_int.h"
 
-/* Changes to one task: bind, unbind, evict, move, end. */
+/* State changes of one task: bind, unbind, evict, move, end. */
 
-static enum ledger_error take_place(
+static enum ledger_error reserve_place(
     struct ledger *, struct ledger_task *, struct ledger_worker *);
-static void place(
+static void assign_worker(
     struct ledger *, struct ledger_task *, struct ledger_worker *);
 
 static enum ledger_error
-take_place(struct ledger *l, struct ledger_task *t, struct ledger_worker *w)
+reserve_place(struct ledger *l, struct ledger_task *t, struct ledger_worker *w)
 {
 	enum room_error error;
 
 	/*
-	 * A task that waits for room goes first, or it would never fit; an
-	 * urgent one goes before it, and waits for no single worker.
+	 * Tasks that already wait for room on this worker go first, or they
+	 * might never fit.  An urgent task goes before them, and never waits
+	 * for room on a particular worker.
 	 */
 	if (w->waiting == 0 || t->r.urgent) {
 		if (room_reserve(&w->room, &t->r.size) == ROOM_OK) {
@@ -37,7 +38,7 @@
 }
 
 static void
-place(struct ledger *l, struct ledger_task *t, struct ledger_worker *w)
+assign_worker(struct ledger *l, struct ledger_task *t, struct ledger_worker *w)
 {
 	TAILQ_INSERT_TAIL(&w->tasks, t, link);
 	t->worker = w;
@@ -62,10 +63,10 @@
 		return LEDGER_ERR_STATE;
 	if (!ledger_worker_usable(w))
 		return LEDGER_ERR_WORKER;
-	if ((error = take_place(l, t, w)) != LEDGER_OK)
+	if ((error = reserve_place(l, t, w)) != LEDGER_OK)
 		return error;
 	TAILQ_REMOVE(&l->pending, t, link);
-	place(l, t, w);
+	assign_worker(l, t, w);
 	t->reason = t->reserved ? "bound" : "bound_ahead";
 	return LEDGER_OK;
 }
@@ -74,9 +75,9 @@
 ledger_rebind(struct ledger *l, struct ledger_task *t, struct ledger_worker *w)
 {
 	/*
-	 * A start that was sent may take effect whenever it likes: bound
-	 * elsewhere, the task would run in two places.  Without one, the
-	 * former worker has heard of no attempt of this owner.
+	 * A start that was sent may take effect at any time, and the task
+	 * would run on two workers.  If none was sent, the former worker knows
+	 * of no attempt of this owner.
 	 */
 	if (l->phase != LEDGER_OWNED || t->worker == NULL || t->worker == w ||
 	    t->run != RUN_NO || t->call != CALL_NONE || t->reserved ||
@@ -89,7 +90,7 @@
 	ledger_release_room(t);
 	TAILQ_REMOVE(&t->worker->tasks, t, link);
 	t->reserved = true;
-	place(l, t, w);
+	assign_worker(l, t, w);
 	t->reason = "bound_where_room_was_free";
 	return LEDGER_OK;
 }
--- a/core/outcome.c
+++ b/core/outcome.c
@@ -9,7 +9,7 @@
 	const char *name;
 	int not_run_status;
 	int unknown_status;
-	bool retry_after; /* coming back later helps */
+	bool retry_after; /* a later retry may succeed */
 };
 
 static int64_t retry_after_s(int64_t);
@@ -55,12 +55,12 @@
 }
 
 void
-outcome_ended(struct outcome_facts *f, enum outcome_attempt how)
+outcome_ended(struct outcome_facts *f, enum outcome_attempt end)
 {
 	f->open--;
-	if (how == OUTCOME_ATTEMPT_UNKNOWN)
+	if (end == OUTCOME_ATTEMPT_UNKNOWN)
 		f->unknown_attempts++;
-	else if (how == OUTCOME_ATTEMPT_COMPLETE)
+	else if (end == OUTCOME_ATTEMPT_COMPLETE)
 		f->complete = true;
 }
 
@@ -96,10 +96,10 @@
 }
 
 /*
- * Telling "not-run" of a call that runs makes the caller send it again: a
- * payout made twice.  So an attempt that is open or ended in doubt, or a
- * claim held by another attempt, always makes the outcome unknown, whatever
- * the reason for giving up.
+ * Reporting "not-run" for a call that runs makes the caller send it again,
+ * e.g. make a payout twice.  So an attempt that is in flight or may have run,
+ * or a claim held by another attempt, always makes the outcome unknown,
+ * whatever the reason for failing the call.
  */
 struct outcome_answer
 outcome_derive(const struct outcome_facts *f, enum outcome_reason reason,
--- a/core/outcome.h
+++ b/core/outcome.h
@@ -6,21 +6,22 @@
 #include <stdint.h>
 
 /*
- * What a caller is told: one of three outcomes, a reason, an HTTP status and
- * when to come back.  The outcome is derived from what is known about the
- * attempts, never chosen by the code that gives up.
+ * The result of a call as reported to its caller: one of three outcomes, a
+ * reason, an HTTP status and a Retry-After time.  The outcome is derived from
+ * what is known about the attempts, never chosen by the code that fails the
+ * call.
  */
 
 enum outcome {
-	OUTCOME_ANSWERED, /* the endpoint's complete answer */
+	OUTCOME_ANSWERED, /* the complete response of an endpoint */
 	OUTCOME_NOT_RUN, /* certain: no endpoint has run or will run it */
 	OUTCOME_UNKNOWN /* an endpoint may have run it */
 };
 
 enum outcome_reason {
 	OUTCOME_COMPLETE,
-	OUTCOME_KEPT_ANSWER, /* repeated id, answer still held here */
-	/* Bad input, refused before anything else is done. */
+	OUTCOME_KEPT_ANSWER, /* repeated id, response cached */
+	/* Invalid request, refused before any processing. */
 	OUTCOME_BAD_DEADLINE,
 	OUTCOME_BAD_HEADER,
 	OUTCOME_HEADER_TOO_LONG,
@@ -36,14 +37,14 @@
 	OUTCOME_NO_ENDPOINT,
 	OUTCOME_STOPPING,
 	OUTCOME_NO_MEMORY,
-	/* Given up on: the outcome depends on the attempts. */
+	/* Abandoned: the outcome depends on the attempts. */
 	OUTCOME_DEADLINE_PASSED,
 	OUTCOME_CALLER_GONE,
-	/* Claims of non-idempotent ids. */
+	/* The claim of a non-idempotent request id failed. */
 	OUTCOME_STORE_AWAY,
 	OUTCOME_CLAIM_TOO_OLD,
 	OUTCOME_ALREADY_CLAIMED,
-	/* The last attempt failed and there is no further one. */
+	/* The last attempt failed and no retry is left. */
 	OUTCOME_ENDPOINT_UNREACHABLE,
 	OUTCOME_ENDPOINT_FENCED,
 	OUTCOME_ENDPOINT_FULL,
@@ -56,52 +57,52 @@
 
 /* How one attempt at an endpoint ended. */
 enum outcome_attempt {
-	OUTCOME_ATTEMPT_NOT_SENT, /* certainly no byte reached the endpoint */
-	OUTCOME_ATTEMPT_REFUSED, /* the endpoint said that it won't run it */
+	OUTCOME_ATTEMPT_NOT_SENT, /* certain: no byte reached the endpoint */
+	OUTCOME_ATTEMPT_REFUSED, /* the endpoint replied that it won't run it */
 	OUTCOME_ATTEMPT_UNKNOWN, /* a byte may have reached the endpoint */
 	OUTCOME_ATTEMPT_COMPLETE
 };
 
-/* What is known about a call; zeroed when the call is read. */
+/* What is known about a call; zeroed when the call is received. */
 struct outcome_facts {
 	bool idempotent;
-	bool complete; /* the whole answer of one attempt is here */
+	bool complete; /* an attempt's response was received in full */
 	/*
-	 * An earlier sending of this id by the caller may have run: "not-run"
-	 * can't be said of the id, whatever becomes of this sending.
+	 * The caller sent this request id before, and that request may have
+	 * run: "not-run" would be false for the id, however this request ends.
 	 */
 	bool repeated;
 	bool foreign_claim; /* another attempt holds the claim of this id */
-	unsigned int open; /* attempts sent and not yet ended */
-	unsigned int unknown_attempts; /* attempts that ended in doubt */
+	unsigned int open; /* attempts in flight */
+	unsigned int unknown_attempts; /* ended attempts that may have run */
 };
 
 struct outcome_answer {
 	enum outcome outcome;
 	enum outcome_reason reason;
-	int status; /* HTTP; 0: the endpoint's own */
+	int status; /* HTTP status; 0: that of the endpoint */
 	int64_t retry_after_s; /* 0: no Retry-After header */
 };
 
-/* An attempt is about to be handed to the HTTP client. */
+/* An attempt is about to be passed to the HTTP client. */
 void outcome_sent(struct outcome_facts *);
-/* An attempt ended; or was given up on, which is doubtful. */
+/* An attempt ended.  An abandoned one has ended as unknown. */
 void outcome_ended(struct outcome_facts *, enum outcome_attempt);
 
 /*
- * May the call go to an endpoint (again)?  A non-idempotent call only while
- * every earlier attempt is certain not to have run.
+ * Whether the call may be sent to an endpoint (again).  A non-idempotent call
+ * may only while it is certain that no earlier attempt has run.
  */
 bool outcome_may_send(const struct outcome_facts *);
 
-/* Whether this sending has run or may run; for its claim. */
+/* Whether this request has run or may run; decides about its claim. */
 bool outcome_may_have_run(const struct outcome_facts *);
 
-/* retry_after_ms: estimate of when coming back helps; 0: unknown. */
+/* retry_after_ms estimates when a retry may succeed; 0: unknown. */
 struct outcome_answer outcome_derive(
     const struct outcome_facts *, enum outcome_reason, int64_t retry_after_ms);
 
-/* The reason for an endpoint's lagoonpin-not-run header value. */
+/* The reason for the value of an endpoint's lagoonpin-not-run header. */
 enum outcome_reason outcome_refusal_reason(const char *value);
 
 const char *outcome_name(enum outcome); /* answered, not-run, unknown */
--- a/core/quota.c
+++ b/core/quota.c
@@ -7,18 +7,19 @@
 
 #include "quota.h"
 
-/* Tokens are kept in thousandths, so that a rate in calls per second is a
- * number of units per millisecond. */
+/*
+ * Tokens are counted in thousandths, so that calls per second are units per
+ * millisecond.
+ */
 #define UNITS_PER_CALL 1000
-/* A few hundred teams: a bucket or two in each list. */
-#define TABLE_SIZE 256
+#define TABLE_SIZE 256 /* 1 or 2 buckets a list for a few hundred teams */
 
 struct bucket {
 	SLIST_ENTRY(bucket) link;
 	char *team;
 	int64_t calls_per_s;
-	int64_t units; /* times the number of entries, so that no share
-			  is rounded down to nothing */
+	/* Multiplied by the number of entries, so that no share rounds to 0. */
+	int64_t units;
 	int64_t filled_ms;
 };
 
@@ -30,19 +31,19 @@
 	int64_t entries;
 };
 
-static struct bucket_list *list_of(struct quota *, const char *);
+static struct bucket_list *find_list(struct quota *, const char *);
 static int64_t bucket_max(const struct quota *, const struct bucket *);
 static void bucket_fill(const struct quota *, struct bucket *, int64_t);
 static struct bucket *bucket_find(struct quota *, const char *);
 static void bucket_free(struct quota *, struct bucket *);
 
 static struct bucket_list *
-list_of(struct quota *q, const char *team)
+find_list(struct quota *q, const char *team)
 {
 	return &q->table[XXH64(team, strlen(team), 0) % TABLE_SIZE];
 }
 
-/* At least one whole call, or a slow team could never call. */
+/* At least one whole call, or a team with a low rate could never call. */
 static int64_t
 bucket_max(const struct quota *q, const struct bucket *b)
 {
@@ -57,18 +58,18 @@
 static void
 bucket_fill(const struct quota *q, struct bucket *b, int64_t now_ms)
 {
-	int64_t max, passed_ms;
+	int64_t max, elapsed_ms;
 
 	max = bucket_max(q, b);
-	passed_ms = now_ms - b->filled_ms;
-	if (passed_ms <= 0)
+	elapsed_ms = now_ms - b->filled_ms;
+	if (elapsed_ms <= 0)
 		return;
 	b->filled_ms = now_ms;
-	/* After a long pause the product could overflow. */
-	if (passed_ms > max / b->calls_per_s)
+	/* The product below could overflow after a long idle time. */
+	if (elapsed_ms > max / b->calls_per_s)
 		b->units = max;
 	else
-		b->units += passed_ms * b->calls_per_s;
+		b->units += elapsed_ms * b->calls_per_s;
 	if (b->units > max)
 		b->units = max;
 }
@@ -78,7 +79,7 @@
 {
 	struct bucket *b;
 
-	SLIST_FOREACH (b, list_of(q, team), link) {
+	SLIST_FOREACH (b, find_list(q, team), link) {
 		if (strcmp(b->team, team) == 0)
 			return b;
 	}
@@ -88,7 +89,7 @@
 static void
 bucket_free(struct quota *q, struct bucket *b)
 {
-	SLIST_REMOVE(list_of(q, b->team), b, bucket, link);
+	SLIST_REMOVE(find_list(q, b->team), b, bucket, link);
 	free(b->team);
 	free(b);
 }
@@ -144,7 +145,7 @@
 	b->calls_per_s = calls_per_s;
 	b->filled_ms = now_ms;
 	b->units = bucket_max(q, b);
-	SLIST_INSERT_HEAD(list_of(q, team), b, link);
+	SLIST_INSERT_HEAD(find_list(q, team), b, link);
 	return 0;
 }
 
@@ -169,7 +170,7 @@
 quota_take(struct quota *q, const char *team, int64_t now_ms)
 {
 	struct bucket *b;
-	int64_t cost, missing;
+	int64_t cost, deficit;
 
 	if ((b = bucket_find(q, team)) == NULL)
 		return 0;
@@ -179,6 +180,6 @@
 		b->units -= cost;
 		return 0;
 	}
-	missing = cost - b->units;
-	return missing / b->calls_per_s + 1;
+	deficit = cost - b->units;
+	return deficit / b->calls_per_s + 1;
 }
