--- a/core/admit.c
+++ b/core/admit.c
@@ -2,13 +2,13 @@
 
 #include "admit_int.h"
 
-/* The services, and which calls get into their queues. */
+/* Services, and the decision which calls are queued. */
 
-/* Of the credits, one in so many may go to calls that seem hopeless. */
+/* Probing is allowed while at most one in this many credits is in use. */
 #define PROBE_SHARE 8
 
-static size_t ahead_of(const struct admit_service *, enum admit_priority);
-static int64_t refuse_return_ms(struct admit_service *, int64_t, int64_t);
+static size_t starts_before(const struct admit_service *, enum admit_priority);
+static int64_t book_retry_ms(struct admit_service *, int64_t, int64_t);
 
 struct admit *
 admit_open(const struct admit_options *o)
@@ -21,7 +21,7 @@
 	if (a->o.normal_every < 2)
 		a->o.normal_every = 2;
 	RB_INIT(&a->deadlines);
-	RB_INIT(&a->turns);
+	RB_INIT(&a->ready);
 	RB_INIT(&a->blocked);
 	return a;
 }
@@ -41,7 +41,7 @@
 	if ((s = calloc(1, sizeof(*s))) == NULL)
 		return NULL;
 	s->admit = a;
-	s->serial = ++a->sequence;
+	s->id = ++a->sequence;
 	for (i = 0; i < ADMIT_NPRIORITIES; i++)
 		TAILQ_INIT(&s->queues[i]);
 	admit_set_weight(s, weight);
@@ -69,19 +69,21 @@
 }
 
 /*
- * Calls that start before one that is queued now.  Urgent calls yet to come
- * aren't foreseen; normal calls get at least one start in normal_every.
+ * Counts the calls that start before one that is queued now.  Urgent calls
+ * that arrive later are not anticipated; normal calls get at least one of
+ * every normal_every starts.
  */
 static size_t
-ahead_of(const struct admit_service *s, enum admit_priority priority)
+starts_before(const struct admit_service *s, enum admit_priority priority)
 {
-	size_t normal, yielded;
+	size_t normal, interleaved;
 
 	if (priority == ADMIT_NORMAL)
 		return s->queued[ADMIT_URGENT] + s->queued[ADMIT_NORMAL];
 	normal = s->queued[ADMIT_NORMAL];
-	yielded = s->queued[ADMIT_URGENT] / (s->admit->o.normal_every - 1);
-	return s->queued[ADMIT_URGENT] + (yielded < normal ? yielded : normal);
+	interleaved = s->queued[ADMIT_URGENT] / (s->admit->o.normal_every - 1);
+	return s->queued[ADMIT_URGENT] +
+	    (interleaved < normal ? interleaved : normal);
 }
 
 int64_t
@@ -90,10 +92,10 @@
 	int64_t credits, ahead;
 
 	credits = s->credits > 0 ? s->credits : 1;
-	ahead = (int64_t)ahead_of(s, priority);
+	ahead = (int64_t)starts_before(s, priority);
 	if (ahead == 0 && (int64_t)s->running < credits)
 		return 0;
-	return (ahead + 1) * s->served_us / credits / ADMIT_US_PER_MS;
+	return (ahead + 1) * s->mean_service_us / credits / ADMIT_US_PER_MS;
 }
 
 size_t
@@ -105,34 +107,35 @@
 int64_t
 admit_service_ms(const struct admit_service *s)
 {
-	return s->served_us / ADMIT_US_PER_MS;
+	return s->mean_service_us / ADMIT_US_PER_MS;
 }
 
 /*
- * When a refused call may come back.  Each refusal books one more service
- * time, so that the callers refused in one burst don't all return at once
- * and make the next burst.
+ * Returns the delay after which a refused call may be retried.  Each refusal
+ * moves the next retry back by one service time, so that the callers refused
+ * in one burst do not all retry at once and cause the next burst.
  */
 static int64_t
-refuse_return_ms(struct admit_service *s, int64_t now_ms, int64_t excess_ms)
+book_retry_ms(struct admit_service *s, int64_t now_ms, int64_t excess_ms)
 {
 	int64_t credits, at_ms, max_ms;
 
 	credits = s->credits > 0 ? s->credits : 1;
 	at_ms = now_ms + excess_ms;
-	if (at_ms < s->next_return_ms)
-		at_ms = s->next_return_ms;
+	if (at_ms < s->next_retry_ms)
+		at_ms = s->next_retry_ms;
 	max_ms = now_ms + s->admit->o.retry_after_max_ms;
 	if (at_ms > max_ms)
 		at_ms = max_ms;
-	s->next_return_ms = at_ms + s->served_us / credits / ADMIT_US_PER_MS;
+	s->next_retry_ms =
+	    at_ms + s->mean_service_us / credits / ADMIT_US_PER_MS;
 	return at_ms - now_ms;
 }
 
 /*
- * A few calls go ahead whatever the estimate says.  After a slow spell it
- * could be longer than every deadline; with all calls refused nothing would
- * ever be measured again.
+ * Lets a few calls proceed regardless of the estimate.  After a period of
+ * slow responses the estimate can exceed every deadline, and if all calls
+ * were refused it would never be updated.
  */
 bool
 admit_probe_allowed(const struct admit_service *s)
@@ -158,15 +161,17 @@
 	left_ms = it->deadline_ms - now_ms;
 	if (a->queued >= a->o.queue_max ||
 	    a->bytes + it->bytes > a->o.queue_bytes_max) {
-		*retry_after_ms = refuse_return_ms(s, now_ms, needed_ms);
+		*retry_after_ms = book_retry_ms(s, now_ms, needed_ms);
 		return ADMIT_QUEUE_FULL;
 	}
-	/* The quota comes last: a call refused otherwise doesn't use it up. */
 	if (left_ms <= 0 || (left_ms < needed_ms && !admit_probe_allowed(s))) {
-		*retry_after_ms =
-		    refuse_return_ms(s, now_ms, needed_ms - left_ms);
+		*retry_after_ms = book_retry_ms(s, now_ms, needed_ms - left_ms);
 		return ADMIT_CANT_MEET_DEADLINE;
 	}
+	/*
+	 * The quota is checked last, so that calls refused for other reasons
+	 * do not consume it.
+	 */
 	if (a->o.quota != NULL) {
 		*retry_after_ms = quota_take(a->o.quota, it->team, now_ms);
 		if (*retry_after_ms > 0)
--- a/core/admit_queue.c
+++ b/core/admit_queue.c
@@ -1,6 +1,6 @@
 #include "admit_int.h"
 
-/* The queues of the services, and the trees of turns and of deadlines. */
+/* Queues of the services, and trees of virtual times and deadlines. */
 
 RB_GENERATE(admit_deadline_tree, admit_item, deadline_link, admit_deadline_cmp)
 RB_GENERATE(admit_vtime_tree, admit_service, vtime_link, admit_vtime_cmp)
@@ -18,10 +18,10 @@
 int
 admit_vtime_cmp(const struct admit_service *a, const struct admit_service *b)
 {
-	if (a->turn != b->turn)
-		return a->turn < b->turn ? -1 : 1;
-	if (a->serial != b->serial)
-		return a->serial < b->serial ? -1 : 1;
+	if (a->vtime != b->vtime)
+		return a->vtime < b->vtime ? -1 : 1;
+	if (a->id != b->id)
+		return a->id < b->id ? -1 : 1;
 	return 0;
 }
 
@@ -29,16 +29,16 @@
 admit_vtime_insert(struct admit_vtime_tree *tree, struct admit_service *s)
 {
 	RB_INSERT(admit_vtime_tree, tree, s);
-	s->in = tree;
+	s->tree = tree;
 }
 
 void
 admit_vtime_remove(struct admit_service *s)
 {
-	if (s->in == NULL)
+	if (s->tree == NULL)
 		return;
-	RB_REMOVE(admit_vtime_tree, s->in, s);
-	s->in = NULL;
+	RB_REMOVE(admit_vtime_tree, s->tree, s);
+	s->tree = NULL;
 }
 
 void
@@ -57,12 +57,12 @@
 	s->queued[it->priority]++;
 	s->admit->queued++;
 	s->admit->bytes += it->bytes;
-	if (s->in != NULL)
+	if (s->tree != NULL)
 		return;
-	/* A service that was idle doesn't catch up on turns it didn't need. */
-	if (s->turn < s->admit->turn)
-		s->turn = s->admit->turn;
-	admit_vtime_insert(&s->admit->turns, s);
+	/* An idle service doesn't catch up on the starts it didn't need. */
+	if (s->vtime < s->admit->vtime)
+		s->vtime = s->admit->vtime;
+	admit_vtime_insert(&s->admit->ready, s);
 }
 
 void
--- a/core/admit_run.c
+++ b/core/admit_run.c
@@ -2,26 +2,26 @@
 
 #include "admit_int.h"
 
-/* Starts what is queued, in turn, and ends what has started or expired. */
+/* Starting, ending and expiring calls. */
 
-/* Service time is averaged over about this many calls. */
-#define SERVED_WEIGHT 16
-/* A service's turn moves by this divided by its weight for each start. */
-#define TURN_UNIT 1000000U
+/* The moving average of the service time covers about this many calls. */
+#define SERVICE_TIME_WEIGHT 16
+/* Each start advances a service's virtual time by this over its weight. */
+#define VTIME_UNIT 1000000U
 
-static bool too_late(const struct admit_item *, int64_t);
+static bool cannot_finish(const struct admit_item *, int64_t);
 static struct admit_item *next_item(struct admit_service *);
-static void note_start(struct admit_service *, enum admit_priority);
-static bool run_one(struct admit_service *, int64_t);
-static void served(struct admit_item *, int64_t);
+static void count_urgent_start(struct admit_service *, enum admit_priority);
+static bool start_next(struct admit_service *, int64_t);
+static void update_service_time(struct admit_item *, int64_t);
 
 /*
- * A queued call whose turn came too late.  Started, it would take a slot up
- * to its deadline and end as unknown; under overload most slots would be lost
- * like that.
+ * Tells whether a queued call can no longer complete before its deadline.  If
+ * started, it would occupy a slot until the deadline and end with an unknown
+ * outcome; under overload most slots would be wasted on such calls.
  */
 static bool
-too_late(const struct admit_item *it, int64_t now_ms)
+cannot_finish(const struct admit_item *it, int64_t now_ms)
 {
 	return it->deadline_ms - now_ms < admit_service_ms(it->service) &&
 	    !admit_probe_allowed(it->service);
@@ -44,30 +44,30 @@
 	normal = TAILQ_FIRST(&s->queues[ADMIT_NORMAL]);
 	if (urgent == NULL)
 		return normal;
-	if (normal != NULL && s->urgent_row + 1 >= s->admit->o.normal_every)
+	if (normal != NULL && s->urgent_streak + 1 >= s->admit->o.normal_every)
 		return normal;
 	return urgent;
 }
 
-/* Count urgent starts only while a normal call waits. */
+/* Urgent starts count only while a normal call waits. */
 static void
-note_start(struct admit_service *s, enum admit_priority priority)
+count_urgent_start(struct admit_service *s, enum admit_priority priority)
 {
 	if (priority == ADMIT_NORMAL || s->queued[ADMIT_NORMAL] == 0)
-		s->urgent_row = 0;
+		s->urgent_streak = 0;
 	else
-		s->urgent_row++;
+		s->urgent_streak++;
 }
 
-/* false: nothing of this service could be started. */
+/* Returns false if the service has no free credit for its next call. */
 static bool
-run_one(struct admit_service *s, int64_t now_ms)
+start_next(struct admit_service *s, int64_t now_ms)
 {
 	struct admit_item *it;
 	enum admit_priority priority;
 
 	it = next_item(s);
-	if (too_late(it, now_ms)) {
+	if (cannot_finish(it, now_ms)) {
 		admit_detach(it);
 		s->admit->o.expired(it, false, s->admit->o.ctx);
 		return true;
@@ -82,7 +82,7 @@
 		admit_requeue(it);
 		return false;
 	}
-	note_start(s, priority);
+	count_urgent_start(s, priority);
 	return true;
 }
 
@@ -92,12 +92,12 @@
 	struct admit_service *s;
 	struct admit_vtime_tree *tree;
 
-	while ((s = RB_MIN(admit_vtime_tree, &a->turns)) != NULL) {
-		a->turn = s->turn;
-		if (run_one(s, now_ms)) {
-			tree = s->in;
+	while ((s = RB_MIN(admit_vtime_tree, &a->ready)) != NULL) {
+		a->vtime = s->vtime;
+		if (start_next(s, now_ms)) {
+			tree = s->tree;
 			admit_vtime_remove(s);
-			s->turn += TURN_UNIT / s->weight;
+			s->vtime += VTIME_UNIT / s->weight;
 			if (tree != NULL)
 				admit_vtime_insert(tree, s);
 		} else {
@@ -107,29 +107,30 @@
 	}
 	while ((s = RB_MIN(admit_vtime_tree, &a->blocked)) != NULL) {
 		admit_vtime_remove(s);
-		admit_vtime_insert(&a->turns, s);
+		admit_vtime_insert(&a->ready, s);
 	}
 }
 
 static void
-served(struct admit_item *it, int64_t now_ms)
+update_service_time(struct admit_item *it, int64_t now_ms)
 {
 	struct admit_service *s;
-	int64_t served_us;
+	int64_t service_us;
 
 	s = it->service;
-	served_us = (now_ms - it->started_ms) * ADMIT_US_PER_MS;
-	if (s->served_us == 0)
-		s->served_us = served_us;
+	service_us = (now_ms - it->started_ms) * ADMIT_US_PER_MS;
+	if (s->mean_service_us == 0)
+		s->mean_service_us = service_us;
 	else
-		s->served_us += (served_us - s->served_us) / SERVED_WEIGHT;
+		s->mean_service_us +=
+		    (service_us - s->mean_service_us) / SERVICE_TIME_WEIGHT;
 }
 
 void
 admit_finish(struct admit_item *it, bool ok, int64_t now_ms)
 {
 	if (ok)
-		served(it, now_ms);
+		update_service_time(it, now_ms);
 	admit_detach(it);
 }
 
@@ -149,12 +150,13 @@
 	    it->deadline_ms <= now_ms) {
 		was_running = it->state == ADMIT_RUNNING;
 		/*
-		 * It took at least this long.  Left out, a service that has
-		 * become too slow for every deadline would still look fast
-		 * and admit calls that all expire.
+		 * The elapsed time is a lower bound of the service time.  If
+		 * it were not counted, a service that has become too slow for
+		 * every deadline would still look fast and admit calls that
+		 * all expire.
 		 */
 		if (was_running)
-			served(it, now_ms);
+			update_service_time(it, now_ms);
 		admit_detach(it);
 		a->o.expired(it, was_running, a->o.ctx);
 	}
--- a/core/bind.c
+++ b/core/bind.c
@@ -4,46 +4,48 @@
 #include "bind.h"
 #include "sample.h"
 
-#define PRESSURE_COST 0.5 /* of a service that surely misses its target */
+#define PRESSURE_COST 0.5 /* of a service certain to miss its target */
 #define SPREAD_COST 0.1 /* for each task of the job in the same domain */
-#define ROOM_COST 0.1 /* of a VM filled to the brim */
-#define LOPSIDED_COST 0.05 /* of one dimension full and another empty */
-#define AVOID_COST 1.0 /* of where it failed or was evicted */
-#define CALM 0.2 /* below this pressure there may be exploring */
-#define EQUAL 1e-9
+#define ROOM_COST 0.1 /* of a VM with all CPUs reserved */
+#define IMBALANCE_COST 0.05 /* of one resource full and the other empty */
+#define AVOID_COST 1.0 /* of a worker it failed on or was evicted from */
+#define EXPLORE_PRESSURE_MAX 0.2 /* no exploration from here on */
+#define COST_EPSILON 1e-9
 
-/* The terms of one candidate's cost. */
-struct parts {
+/* The components of one candidate's cost. */
+struct cost {
 	int index;
-	double quiet; /* disturbance and pressure */
+	double interference; /* with services and tasks, and pressure */
 	double spread;
 	double room;
-	double explore; /* a gain: negative */
+	double explore; /* a bonus, so negative */
 	double total;
 };
 
-/* What one walk over the workers finds. */
+/* State of one search through the workers. */
 struct search {
-	struct parts best;
-	struct parts next;
+	struct cost best;
+	struct cost next;
 	int found;
-	int failing; /* some would fit but are failing */
-	int probe; /* index of one to be probed, or -1 */
-	int large; /* none so far is large enough even if empty */
+	int failing; /* there are workers with room that are failing */
+	int probe; /* index of a worker to be probed, or -1 */
+	int too_large; /* it fits no worker so far, even an empty one */
 };
 
 static int fits(const struct bind_options *, const struct bind_task *,
     const struct bind_worker *);
-static int could_fit(const struct bind_task *, const struct bind_worker *);
-static double used_after(int64_t, int64_t, int64_t);
-static void weigh(const struct bind_options *, const struct bind_task *,
-    const struct bind_worker *, int, int64_t, struct parts *);
-static void keep(struct search *, const struct parts *);
-static enum bind_reason why(const struct parts *, const struct parts *);
-static int has_enough(const struct bind_options *, const struct bind_worker *);
-static struct bind_result none(enum bind_reason);
-static int must_wait(const struct bind_options *, const struct bind_task *);
-static struct bind_result result(const struct search *, size_t);
+static int fits_empty(const struct bind_task *, const struct bind_worker *);
+static double share_used_after(int64_t, int64_t, int64_t);
+static void compute_cost(const struct bind_options *, const struct bind_task *,
+    const struct bind_worker *, int, int64_t, struct cost *);
+static void add_candidate(struct search *, const struct cost *);
+static enum bind_reason main_reason(const struct cost *, const struct cost *);
+static int has_work_ahead(
+    const struct bind_options *, const struct bind_worker *);
+static struct bind_result no_worker(enum bind_reason);
+static int awaits_measurement(
+    const struct bind_options *, const struct bind_task *);
+static struct bind_result search_result(const struct search *, size_t);
 
 void
 bind_options_default(struct bind_options *o)
@@ -60,7 +62,7 @@
 }
 
 static int
-could_fit(const struct bind_task *t, const struct bind_worker *w)
+fits_empty(const struct bind_task *t, const struct bind_worker *w)
 {
 	return t->reserve.cpu_millis <= w->capacity.cpu_millis &&
 	    t->reserve.memory_mib <= w->capacity.memory_mib &&
@@ -84,7 +86,7 @@
 }
 
 static double
-used_after(int64_t reserved, int64_t more, int64_t capacity)
+share_used_after(int64_t reserved, int64_t more, int64_t capacity)
 {
 	if (capacity <= 0)
 		return 0;
@@ -92,67 +94,67 @@
 }
 
 static void
-weigh(const struct bind_options *o, const struct bind_task *t,
+compute_cost(const struct bind_options *o, const struct bind_task *t,
     const struct bind_worker *w, int domain_tasks, int64_t now_ms,
-    struct parts *p)
+    struct cost *c)
 {
 	struct learn_impact impact;
 	double cpu, memory;
 
-	memset(p, 0, sizeof(*p));
+	memset(c, 0, sizeof(*c));
 	memset(&impact, 0, sizeof(impact));
 	if (w->learnt != NULL)
 		learn_impact_of(
 		    w->learnt, t->kind, t->reserve.cpu_millis, now_ms, &impact);
-	p->quiet =
+	c->interference =
 	    o->tail_weight * (impact.services + PRESSURE_COST * w->pressure) +
 	    o->throughput_weight * impact.tasks;
 	if (w->id == t->avoid && t->avoid != 0)
-		p->quiet += AVOID_COST;
-	p->spread = SPREAD_COST * domain_tasks;
-	cpu = used_after(w->reserved.cpu_millis, t->reserve.cpu_millis,
+		c->interference += AVOID_COST;
+	c->spread = SPREAD_COST * domain_tasks;
+	cpu = share_used_after(w->reserved.cpu_millis, t->reserve.cpu_millis,
 	    w->capacity.cpu_millis);
-	memory = used_after(w->reserved.memory_mib, t->reserve.memory_mib,
+	memory = share_used_after(w->reserved.memory_mib, t->reserve.memory_mib,
 	    w->capacity.memory_mib);
-	p->room = ROOM_COST * o->tail_weight * cpu * cpu +
-	    LOPSIDED_COST * fabs(cpu - memory);
-	if (w->pressure < CALM && !t->urgent)
-		p->explore = -o->explore * impact.unknown;
-	p->total = p->quiet + p->spread + p->room + p->explore;
+	c->room = ROOM_COST * o->tail_weight * cpu * cpu +
+	    IMBALANCE_COST * fabs(cpu - memory);
+	if (w->pressure < EXPLORE_PRESSURE_MAX && !t->urgent)
+		c->explore = -o->explore * impact.unknown;
+	c->total = c->interference + c->spread + c->room + c->explore;
 }
 
 static void
-keep(struct search *s, const struct parts *p)
+add_candidate(struct search *s, const struct cost *c)
 {
 	s->found++;
-	if (p->total < s->best.total) {
+	if (c->total < s->best.total) {
 		s->next = s->best;
-		s->best = *p;
-	} else if (p->total < s->next.total)
-		s->next = *p;
+		s->best = *c;
+	} else if (c->total < s->next.total)
+		s->next = *c;
 }
 
 static enum bind_reason
-why(const struct parts *best, const struct parts *next)
+main_reason(const struct cost *best, const struct cost *next)
 {
-	double quiet, spread, room, explore, most;
+	double interference, spread, room, explore, most;
 
-	quiet = next->quiet - best->quiet;
+	interference = next->interference - best->interference;
 	spread = next->spread - best->spread;
 	room = next->room - best->room;
 	explore = next->explore - best->explore;
-	most = fmax(fmax(quiet, spread), fmax(room, explore));
-	if (most - quiet < EQUAL && quiet > EQUAL)
+	most = fmax(fmax(interference, spread), fmax(room, explore));
+	if (most - interference < COST_EPSILON && interference > COST_EPSILON)
 		return BIND_LEAST_INTERFERENCE;
-	if (most - spread < EQUAL && spread > EQUAL)
+	if (most - spread < COST_EPSILON && spread > COST_EPSILON)
 		return BIND_SPREAD;
-	if (most - explore < EQUAL && explore > EQUAL)
+	if (most - explore < COST_EPSILON && explore > COST_EPSILON)
 		return BIND_EXPLORE;
 	return BIND_MOST_ROOM;
 }
 
 static struct bind_result
-result(const struct search *s, size_t n)
+search_result(const struct search *s, size_t n)
 {
 	struct bind_result r;
 
@@ -167,14 +169,14 @@
 		r.index = s->best.index;
 		r.cost = s->best.total;
 		r.runner_up = s->found > 1 ? s->next.total : 0;
-		r.reason =
-		    s->found > 1 ? why(&s->best, &s->next) : BIND_ONLY_FIT;
+		r.reason = s->found > 1 ? main_reason(&s->best, &s->next) :
+					  BIND_ONLY_FIT;
 		return r;
 	}
 	r.reason = BIND_NO_FIT;
 	if (s->failing)
 		r.reason = BIND_ALL_FAILING;
-	if (s->large)
+	if (s->too_large)
 		r.reason = BIND_TOO_LARGE;
 	if (n == 0)
 		r.reason = BIND_NONE;
@@ -182,7 +184,7 @@
 }
 
 static struct bind_result
-none(enum bind_reason reason)
+no_worker(enum bind_reason reason)
 {
 	struct bind_result r;
 
@@ -193,12 +195,12 @@
 }
 
 /*
- * Declared sizes are often several times off.  If all tasks of a new job
- * started on them at once, its VMs would be over their processors until the
- * first late measurement, or half empty for as long as the job runs.
+ * Declared sizes are often wrong by a factor of several.  If all tasks of a
+ * new job were started on them at once, its VMs would be overcommitted until
+ * the first measurement arrives, or half empty for as long as the job runs.
  */
 static int
-must_wait(const struct bind_options *o, const struct bind_task *t)
+awaits_measurement(const struct bind_options *o, const struct bind_task *t)
 {
 	return o->unmeasured_max > 0 && !t->urgent && !t->resumed &&
 	    t->job_running >= o->unmeasured_max &&
@@ -211,34 +213,35 @@
     bind_domain_count_cb domain, void *ctx, uint64_t random, int64_t now_ms)
 {
 	enum health_state state;
-	struct search f;
-	struct parts p;
+	struct search search;
+	struct cost c;
 	struct sample s;
 	size_t i;
-	int looked, in_domain;
+	int examined, in_domain;
 
-	if (must_wait(o, t))
-		return none(BIND_JOB_NOT_MEASURED);
-	memset(&f, 0, sizeof(f));
-	f.best.total = f.next.total = INFINITY;
-	f.probe = -1;
-	f.large = 1;
+	if (awaits_measurement(o, t))
+		return no_worker(BIND_JOB_NOT_MEASURED);
+	memset(&search, 0, sizeof(search));
+	search.best.total = search.next.total = INFINITY;
+	search.probe = -1;
+	search.too_large = 1;
 	sample_start(&s, n, random);
-	for (looked = 0; looked < o->examine_max && f.found < o->candidates;
-	     looked++) {
+	for (examined = 0;
+	     examined < o->examine_max && search.found < o->candidates;
+	     examined++) {
 		if ((i = sample_next(&s)) == n)
 			break;
-		f.large = f.large && !could_fit(t, w[i]);
+		search.too_large = search.too_large && !fits_empty(t, w[i]);
 		if (w[i]->leaving || !fits(o, t, w[i]) ||
 		    (room != NULL && !room(ctx, i, &t->reserve)))
 			continue;
 		state = health_state(&w[i]->health, now_ms);
 		if (state != HEALTH_OK) {
-			f.failing = 1;
-			/* A probe may well fail: not with work that waited. */
+			search.failing = 1;
+			/* A probe may fail, so it takes a new normal task. */
 			if (state == HEALTH_PROBE_DUE && !t->urgent &&
 			    !t->resumed && t->avoid == 0)
-				f.probe = (int)i;
+				search.probe = (int)i;
 			continue;
 		}
 		in_domain = 0;
@@ -246,15 +249,15 @@
 			in_domain = domain(ctx,
 			    t->spread == BIND_SPREAD_RACK ? w[i]->rack :
 							    w[i]->data_center);
-		weigh(o, t, w[i], in_domain, now_ms, &p);
-		p.index = (int)i;
-		keep(&f, &p);
+		compute_cost(o, t, w[i], in_domain, now_ms, &c);
+		c.index = (int)i;
+		add_candidate(&search, &c);
 	}
-	return result(&f, n);
+	return search_result(&search, n);
 }
 
 static int
-has_enough(const struct bind_options *o, const struct bind_worker *w)
+has_work_ahead(const struct bind_options *o, const struct bind_worker *w)
 {
 	return o->ahead_ms > 0 &&
 	    w->work_ms >= o->ahead_ms * w->capacity.cpu_millis / 1000;
@@ -267,15 +270,15 @@
 	struct bind_result r;
 	struct sample s;
 	size_t i;
-	int looked;
+	int examined;
 
-	r = none(n == 0 ? BIND_NONE : BIND_NO_FIT);
+	r = no_worker(n == 0 ? BIND_NONE : BIND_NO_FIT);
 	sample_start(&s, n, random);
-	for (looked = 0; looked < o->examine_max; looked++) {
+	for (examined = 0; examined < o->examine_max; examined++) {
 		if ((i = sample_next(&s)) == n)
 			break;
-		if (w[i]->leaving || !could_fit(t, w[i]) ||
-		    has_enough(o, w[i]) ||
+		if (w[i]->leaving || !fits_empty(t, w[i]) ||
+		    has_work_ahead(o, w[i]) ||
 		    health_state(&w[i]->health, now_ms) != HEALTH_OK)
 			continue;
 		if (r.index >= 0 && w[i]->work_ms >= w[r.index]->work_ms)
--- a/core/bind.h
+++ b/core/bind.h
@@ -9,25 +9,24 @@
 #include "room.h"
 
 /*
- * The worker for a task: it fits in every dimension, disturbs the services
- * and tasks there least as far as learnt, leaves room where it will be
- * needed, and spreads a job over its failure domains.
+ * Selects the worker for a task: one where the task fits in every dimension,
+ * interferes least with the services and tasks there as far as learnt, leaves
+ * room where it will be needed, and spreads its job over failure domains.
  */
 
 enum bind_reason {
-	BIND_ONLY_FIT, /* the one worker that fits */
-	BIND_LEAST_INTERFERENCE, /* chiefly: disturbs least what runs there */
-	BIND_SPREAD, /* chiefly: fewest tasks of the job in that domain */
-	BIND_MOST_ROOM, /* chiefly: leaves the best balance of room */
-	BIND_PROBE, /* a probe of a worker that was failing */
-	BIND_EXPLORE, /* to learn about a pair not yet seen together */
-	BIND_AHEAD, /* it would run out of work first */
-	BIND_NO_FIT, /* none: no room in those looked at */
-	BIND_ALL_FAILING, /* none: those with room are failing */
+	BIND_ONLY_FIT, /* no other worker examined fits */
+	BIND_LEAST_INTERFERENCE, /* mainly: least interference */
+	BIND_SPREAD, /* mainly: fewest tasks of the job in the domain */
+	BIND_MOST_ROOM, /* mainly: leaves the best balance of room */
+	BIND_PROBE, /* probes a worker that was failing */
+	BIND_EXPLORE, /* mainly: learns about an unknown combination */
+	BIND_AHEAD, /* runs out of work first; see bind_ahead() */
+	BIND_NO_FIT, /* none: no room on the workers examined */
+	BIND_ALL_FAILING, /* none: the workers with room are failing */
 	BIND_TOO_LARGE, /* none: larger than any VM */
-	BIND_JOB_NOT_MEASURED, /* none yet: the first tasks of its job go first
-				*/
-	BIND_NONE /* none: no worker at all */
+	BIND_JOB_NOT_MEASURED, /* none yet: waits for the job's first tasks */
+	BIND_NONE /* none: there are no workers */
 };
 
 enum bind_spread {
@@ -36,71 +35,80 @@
 	BIND_SPREAD_DATA_CENTER
 };
 
-/* Kept by the caller for each worker. */
+/* State of one worker, kept by the caller. */
 struct bind_worker {
 	struct resources capacity;
-	struct resources reserved; /* sum over bound tasks, services included */
-	int rack; /* numbers of the caller's; racks are unique */
-	int data_center; /* over data centres */
+	struct resources reserved; /* by all bound tasks, services included */
+	int rack; /* number given by the caller, unique over data centres */
+	int data_center; /* number given by the caller */
 	int leaving;
-	int tasks; /* bound there */
+	int tasks; /* bound to the worker */
 	uint64_t id; /* hash of the worker's id */
-	int64_t work_ms; /* expected processor-milliseconds / 1000 of the work
-			    bound there, running or ahead; for bind_ahead() */
-	double pressure; /* highest of its services, of struct evict_service */
+	/*
+	 * Expected CPU time of the work bound to the worker, whether running
+	 * or bound ahead: CPU millis times run time in ms, over 1000.
+	 */
+	int64_t work_ms;
+	double pressure; /* the highest pressure of its services (evict.h) */
 	struct health_worker health;
-	struct learn_worker *learnt; /* NULL: nothing known */
+	struct learn_worker *learnt; /* NULL: unknown */
 };
 
-/* What is to be bound. */
+/* The task to be bound. */
 struct bind_task {
-	struct resources reserve; /* of learn_reserve() */
+	struct resources reserve; /* from learn_reserve() */
 	int kind;
 	int urgent;
-	int resumed; /* evicted before: goes first in line */
-	uint64_t avoid; /* hash of a worker it failed on or left; 0: none */
+	int resumed; /* was evicted; bound before all other tasks */
+	uint64_t avoid; /* id of a worker it failed on or left; 0: none */
 	enum bind_spread spread;
 	int job_running; /* tasks of its job bound or running */
-	int job_measured; /* late measurements of its job's use so far */
+	int job_measured; /* measurements of its job's use so far */
 	int64_t run_ms; /* declared, 0 if unknown */
 	int64_t accepted_ms;
 };
 
 /*
- * Tasks of this job already bound in a failure domain.  May be NULL when
- * the caller doesn't spread.
+ * Returns the number of tasks of the job that are bound in a failure domain.
+ * May be NULL if the caller does not spread.
  */
 typedef int (*bind_domain_count_cb)(void *ctx, int domain);
 
-/* The last word on room, such as that of core/room; nonzero: it fits. */
+/* An additional check for room, such as core/room.  Nonzero: it fits. */
 typedef int (*bind_fits_cb)(void *ctx, size_t index, const struct resources *);
 
 struct bind_options {
-	int candidates; /* that fit, weighed against each other; 16 */
-	int examine_max; /* workers looked at for them; 128 */
+	int candidates; /* fitting workers compared with each other; 16 */
+	int examine_max; /* workers examined to find them; 128 */
 	double tail_weight; /* of the policy; 1 */
 	double throughput_weight; /* of the policy; 1 */
 	double eviction_weight; /* of the policy; 1 */
-	double explore; /* worth of learning about an unknown pair; 0.02 */
-	int unmeasured_max; /* tasks of a job that may run before its use has
-			   been measured that often; 0: any number; 2 */
+	double explore; /* bonus for an unknown combination; 0.02 */
+	/*
+	 * Number of tasks of a job that may run before as many measurements
+	 * of the job's use exist.  0: no limit.  Default 2.
+	 */
+	int unmeasured_max;
 	double headroom; /* share of a VM kept free of normal tasks; 0.02 */
-	int64_t ahead_ms; /* no more is bound ahead to a worker whose work
-			     lasts so long; 0: no limit; 0 */
+	/*
+	 * A worker that has work for this long gets no more tasks ahead.
+	 * 0: no limit, the default.
+	 */
+	int64_t ahead_ms;
 };
 
 struct bind_result {
 	int index; /* into the array, or -1 */
 	enum bind_reason reason;
 	double cost;
-	double runner_up; /* 0 with one candidate */
+	double runner_up; /* cost of the second best, 0 if there is none */
 };
 
 void bind_options_default(struct bind_options *);
 
 /*
- * Find the worker for one task among n.  random is uniform.  The callbacks
- * may be NULL; both get ctx.
+ * Selects the worker for one task among n.  random is a uniform random number.
+ * Both callbacks get ctx and may be NULL.
  */
 struct bind_result bind_pick(const struct bind_options *,
     const struct bind_task *, struct bind_worker *const *, size_t n,
@@ -108,18 +116,19 @@
     int64_t now_ms);
 
 /*
- * The worker to bind a task ahead to, startable only there: among those
- * sampled, the one that would run out of work first, so that an outage of
- * the store finds each with about as much to do.  Adds to its work_ms.
- * BIND_NO_FIT if each has work for ahead_ms, by its processors.
+ * Selects the worker to bind a task to ahead of time; the task can then start
+ * only there.  Takes the worker of the sample that would run out of work
+ * first, so that at an outage of the store all workers have about the same
+ * amount of work left.  Adds to the worker's work_ms.  The result is
+ * BIND_NO_FIT if every worker has work for ahead_ms on its CPUs.
  */
 struct bind_result bind_ahead(const struct bind_options *,
     const struct bind_task *, struct bind_worker *const *, size_t n,
     uint64_t random, int64_t now_ms);
 
 /*
- * The order of waiting tasks: negative if a goes before b.  Evicted work
- * first, then urgent before normal, then the one that waited longer.
+ * Compares two waiting tasks; negative if a is to be bound before b.  Evicted
+ * tasks come first, then urgent ones, then those that have waited longest.
  */
 int bind_order(const struct bind_task *a, const struct bind_task *b);
 
--- a/core/budget.c
+++ b/core/budget.c
@@ -4,8 +4,8 @@
 
 #define PERCENT 100
 
-static struct budget_bucket *slot_now(struct budget *, int64_t);
-static enum budget_verdict judge(
+static struct budget_bucket *current_bucket(struct budget *, int64_t);
+static enum budget_verdict evaluate(
     const struct budget *, enum budget_kind, bool, int64_t);
 
 static const char *const verdict_names[BUDGET_NVERDICTS] = { "granted",
@@ -21,33 +21,33 @@
 	b->reserve = reserve;
 }
 
-/* The slot of this moment, emptied if it is from an earlier turn. */
+/* Returns the bucket of the current time, cleared if its content expired. */
 static struct budget_bucket *
-slot_now(struct budget *b, int64_t now_ms)
+current_bucket(struct budget *b, int64_t now_ms)
 {
-	struct budget_bucket *s;
+	struct budget_bucket *bucket;
 	int64_t number;
 
 	number = now_ms / BUDGET_BUCKET_MS;
-	s = &b->slots[number % BUDGET_BUCKETS];
-	if (s->number != number) {
-		memset(s, 0, sizeof(*s));
-		s->number = number;
+	bucket = &b->buckets[number % BUDGET_BUCKETS];
+	if (bucket->number != number) {
+		memset(bucket, 0, sizeof(*bucket));
+		bucket->number = number;
 	}
-	return s;
+	return bucket;
 }
 
 void
 budget_success(struct budget *b, int64_t now_ms)
 {
-	slot_now(b, now_ms)->successes++;
+	current_bucket(b, now_ms)->successes++;
 }
 
 static enum budget_verdict
-judge(const struct budget *b, enum budget_kind kind, bool idempotent,
+evaluate(const struct budget *b, enum budget_kind kind, bool idempotent,
     int64_t now_ms)
 {
-	const struct budget_bucket *s;
+	const struct budget_bucket *bucket;
 	uint64_t allowed, spent, successes;
 	int64_t oldest;
 	int i;
@@ -59,11 +59,11 @@
 	oldest = now_ms / BUDGET_BUCKET_MS - BUDGET_BUCKETS + 1;
 	spent = successes = 0;
 	for (i = 0; i < BUDGET_BUCKETS; i++) {
-		s = &b->slots[i];
-		if (s->number < oldest)
+		bucket = &b->buckets[i];
+		if (bucket->number < oldest)
 			continue;
-		successes += s->successes;
-		spent += s->spent[kind];
+		successes += bucket->successes;
+		spent += bucket->spent[kind];
 	}
 	allowed = successes * b->percent[kind] / PERCENT;
 	if (kind == BUDGET_RETRY)
@@ -77,10 +77,10 @@
 {
 	enum budget_verdict verdict;
 
-	verdict = judge(b, kind, idempotent, now_ms);
+	verdict = evaluate(b, kind, idempotent, now_ms);
 	b->counts[kind][verdict]++;
 	if (verdict == BUDGET_GRANTED)
-		slot_now(b, now_ms)->spent[kind]++;
+		current_bucket(b, now_ms)->spent[kind]++;
 	return verdict;
 }
 
--- a/core/budget.h
+++ b/core/budget.h
@@ -5,19 +5,20 @@
 #include <stdint.h>
 
 /*
- * Retry budget of one service: further attempts may be at most a fraction of
- * the recent successes.  Without it an overloaded service is buried by the
- * retries of the calls that it fails (symptom: load rises as answers fall).
- * Refusals by an endpoint before running cost nothing there and are
- * bounded by the call's number of attempts instead.
+ * Retry budget of one service, which limits further attempts to a fraction of
+ * the recent successes.  Without it, an overloaded service is overloaded
+ * further by retries of the calls that it fails; the symptom is load that
+ * rises while responses decrease.  Attempts that an endpoint refuses before
+ * running cost it nothing and are limited by the maximum number of attempts of
+ * a call instead.
  */
 
 #define BUDGET_BUCKETS 10
 #define BUDGET_BUCKET_MS 1000
 
 enum budget_kind {
-	BUDGET_RETRY, /* the attempt before failed */
-	BUDGET_HEDGE, /* the attempt before is slow */
+	BUDGET_RETRY, /* the previous attempt failed */
+	BUDGET_HEDGE, /* the previous attempt is slow */
 	BUDGET_NKINDS
 };
 
@@ -25,7 +26,7 @@
 	BUDGET_GRANTED,
 	BUDGET_SPENT,
 	BUDGET_NOT_IDEMPOTENT,
-	BUDGET_OFF, /* this kind is switched off for the service */
+	BUDGET_OFF, /* this kind is disabled for the service */
 	BUDGET_NVERDICTS
 };
 
@@ -35,20 +36,20 @@
 	uint32_t spent[BUDGET_NKINDS];
 };
 
-/* The fields are private but for percent and reserve. */
+/* Only percent and reserve may be accessed from outside. */
 struct budget {
 	uint32_t percent[BUDGET_NKINDS]; /* of recent successes */
-	uint32_t reserve; /* retries allowed without any success */
-	struct budget_bucket slots[BUDGET_BUCKETS];
+	uint32_t reserve; /* retries allowed without successes */
+	struct budget_bucket buckets[BUDGET_BUCKETS];
 	uint64_t counts[BUDGET_NKINDS][BUDGET_NVERDICTS];
 };
 
 void budget_init(struct budget *, uint32_t retry_percent,
     uint32_t hedge_percent, uint32_t reserve);
-/* A call was answered, which pays for further attempts. */
+/* Records an answered call, which adds to the budget. */
 void budget_success(struct budget *, int64_t now_ms);
 
-/* Ask for one further attempt and, if granted, spend it. */
+/* Requests one further attempt and, if granted, charges the budget. */
 enum budget_verdict budget_take(
     struct budget *, enum budget_kind, bool idempotent, int64_t now_ms);
 
--- a/core/choose.c
+++ b/core/choose.c
@@ -4,25 +4,26 @@
 #include "choose.h"
 #include "sample.h"
 
-#define BUSY_SHARE 0.5 /* latency that a full endpoint adds, as a share */
-#define FAILURE_FACTOR 4 /* expected latency grows so for each failure */
+#define LOAD_SHARE 0.5 /* added to the latency at full load */
+#define FAILURE_FACTOR 4 /* of expected latency, per failure */
 #define FAILURES_MAX 6
-#define EQUAL_MS 0.001
-#define LEAST_MS 0.01 /* learnt of a call nearer than its data centre */
+#define EQUAL_LATENCY_MS 0.001
+#define LATENCY_MIN_MS 0.01 /* if the network delay exceeds the duration */
 
-/* The terms of one candidate's expected latency, in milliseconds. */
-struct parts {
+/* The components of one candidate's expected latency. */
+struct latency {
 	int index;
-	double distance_ms;
-	double latency_ms;
-	double busy_ms;
+	double network_ms;
+	double service_ms;
+	double load_ms;
 	double total_ms;
 };
 
-static void weigh(const struct choose_options *, const struct choose_endpoint *,
-    int, int, int64_t, struct parts *);
-static enum choose_reason why(const struct parts *, const struct parts *);
-static struct choose_result nothing(size_t, int);
+static void estimate(const struct choose_options *,
+    const struct choose_endpoint *, int, int, int64_t, struct latency *);
+static enum choose_reason main_reason(
+    const struct latency *, const struct latency *);
+static struct choose_result no_endpoint(size_t, int);
 
 void
 choose_options_default(struct choose_options *o)
@@ -36,48 +37,49 @@
 }
 
 static void
-weigh(const struct choose_options *o, const struct choose_endpoint *e, int kind,
-    int data_center, int64_t now_ms, struct parts *p)
+estimate(const struct choose_options *o, const struct choose_endpoint *e,
+    int kind, int data_center, int64_t now_ms, struct latency *l)
 {
 	int failures;
 
-	p->distance_ms = e->data_center == data_center ? 0 : 2 * o->one_way_ms;
-	p->latency_ms = o->fallback_ms;
+	l->network_ms = e->data_center == data_center ? 0 : 2 * o->one_way_ms;
+	l->service_ms = o->fallback_ms;
 	if (e->learnt != NULL)
-		p->latency_ms =
+		l->service_ms =
 		    learn_latency_ms(e->learnt, kind, o->fallback_ms, now_ms);
 	/*
-	 * An endpoint that fails at once has few calls in flight and would
-	 * attract more; its failures raise what is expected of it until they
-	 * are old enough for another try.
+	 * An endpoint that fails fast has few calls in flight and would attract
+	 * more.  Its failures therefore raise the expected latency for
+	 * failing_ms, after which it is tried again.
 	 */
 	if (e->failures > 0 && now_ms - e->failed_ms < o->failing_ms) {
 		failures =
 		    e->failures < FAILURES_MAX ? e->failures : FAILURES_MAX;
-		p->latency_ms *= pow(FAILURE_FACTOR, failures);
+		l->service_ms *= pow(FAILURE_FACTOR, failures);
 	}
-	p->busy_ms = p->latency_ms * BUSY_SHARE * e->in_flight /
+	l->load_ms = l->service_ms * LOAD_SHARE * e->in_flight /
 	    (e->slots > 0 ? e->slots : 1);
-	p->total_ms = p->distance_ms + p->latency_ms + p->busy_ms;
+	l->total_ms = l->network_ms + l->service_ms + l->load_ms;
 }
 
 static enum choose_reason
-why(const struct parts *best, const struct parts *next)
+main_reason(const struct latency *best, const struct latency *next)
 {
-	double near, fast, idle;
+	double network, service, load;
 
-	near = next->distance_ms - best->distance_ms;
-	fast = next->latency_ms - best->latency_ms;
-	idle = next->busy_ms - best->busy_ms;
-	if (next->total_ms - best->total_ms < EQUAL_MS)
+	network = next->network_ms - best->network_ms;
+	service = next->service_ms - best->service_ms;
+	load = next->load_ms - best->load_ms;
+	if (next->total_ms - best->total_ms < EQUAL_LATENCY_MS)
 		return CHOOSE_EQUAL;
-	if (near >= fast && near >= idle)
+	if (network >= service && network >= load)
 		return CHOOSE_NEAREST;
-	return fast >= idle ? CHOOSE_LOWEST_LATENCY : CHOOSE_FEWEST_IN_FLIGHT;
+	return service >= load ? CHOOSE_LOWEST_LATENCY :
+				 CHOOSE_FEWEST_IN_FLIGHT;
 }
 
 static struct choose_result
-nothing(size_t n, int leaving)
+no_endpoint(size_t n, int leaving)
 {
 	struct choose_result r;
 
@@ -97,22 +99,22 @@
     int64_t now_ms)
 {
 	struct choose_result r;
-	struct parts p, best, next;
+	struct latency l, best, next;
 	struct sample s;
 	size_t i;
-	int found, leaving, looked;
+	int found, leaving, examined;
 
-	found = leaving = looked = 0;
+	found = leaving = examined = 0;
 	memset(&best, 0, sizeof(best));
 	best.index = -1;
 	best.total_ms = INFINITY;
 	next = best;
 	sample_start(&s, n, random);
-	while (
-	    found < o->candidates && (found == 0 || looked < o->examine_max)) {
+	while (found < o->candidates &&
+	    (found == 0 || examined < o->examine_max)) {
 		if ((i = sample_next(&s)) == n)
 			break;
-		looked++;
+		examined++;
 		if (e[i]->credits <= 0 || (int)i == exclude)
 			continue;
 		if (e[i]->leaving) {
@@ -120,20 +122,21 @@
 			continue;
 		}
 		found++;
-		weigh(o, e[i], kind, data_center, now_ms, &p);
-		p.index = (int)i;
-		if (p.total_ms < best.total_ms) {
+		estimate(o, e[i], kind, data_center, now_ms, &l);
+		l.index = (int)i;
+		if (l.total_ms < best.total_ms) {
 			next = best;
-			best = p;
-		} else if (p.total_ms < next.total_ms)
-			next = p;
+			best = l;
+		} else if (l.total_ms < next.total_ms)
+			next = l;
 	}
 	if (best.index < 0)
-		return nothing(n, leaving);
+		return no_endpoint(n, leaving);
 	r.index = best.index;
 	r.expected_ms = best.total_ms;
 	r.runner_up_ms = found > 1 ? next.total_ms : 0;
-	r.reason = found > 1 ? why(&best, &next) : CHOOSE_ONLY_CANDIDATE;
+	r.reason =
+	    found > 1 ? main_reason(&best, &next) : CHOOSE_ONLY_CANDIDATE;
 	return r;
 }
 
@@ -151,7 +154,7 @@
 		return;
 	if (e->data_center != data_center)
 		ms -= 2 * o->one_way_ms;
-	learn_call_latency(e->learnt, kind, fmax(ms, LEAST_MS), now_ms);
+	learn_call_latency(e->learnt, kind, fmax(ms, LATENCY_MIN_MS), now_ms);
 }
 
 void
--- a/core/claim.c
+++ b/core/claim.c
@@ -4,7 +4,7 @@
 
 #include "claim.h"
 
-static bool in_time(const struct claim *, int64_t);
+static bool is_valid(const struct claim *, int64_t);
 static void create(struct claim *);
 static void refuse(struct claim *, enum claim_refusal);
 static void grant(struct claim *, int64_t);
@@ -26,14 +26,14 @@
 	c->deadline_ms = o->deadline_ms;
 	c->age_max_ms = o->age_max_ms;
 	c->ops = o->ops;
-	/* Counted from before the write, so never younger than the record. */
+	/* Set before the write: the record is never older than the claim. */
 	c->asked_ms = now_ms;
 	create(c);
 	return 0;
 }
 
 static bool
-in_time(const struct claim *c, int64_t now_ms)
+is_valid(const struct claim *c, int64_t now_ms)
 {
 	return now_ms < c->deadline_ms && now_ms - c->asked_ms < c->age_max_ms;
 }
@@ -46,19 +46,19 @@
 }
 
 static void
-refuse(struct claim *c, enum claim_refusal why)
+refuse(struct claim *c, enum claim_refusal reason)
 {
 	c->state = CLAIM_CLOSED;
 	if (c->may_be_written)
 		c->ops->settle(c, CLAIM_MARK_NOT_RUN, c->ops->ctx);
-	c->ops->refused(c, why, c->ops->ctx);
+	c->ops->refused(c, reason, c->ops->ctx);
 }
 
 static void
 grant(struct claim *c, int64_t now_ms)
 {
 	c->may_be_written = true;
-	if (!in_time(c, now_ms)) {
+	if (!is_valid(c, now_ms)) {
 		refuse(c, CLAIM_REFUSED_EXPIRED);
 		return;
 	}
@@ -67,9 +67,9 @@
 }
 
 /*
- * A record is there.  With our nonce it is our own write whose answer was
- * lost.  One that is marked as not run may be replaced, at the revision
- * that was seen: of two entries that try, one succeeds.
+ * A record exists.  If it has this claim's nonce, it was written by an own
+ * request that got no answer.  A record marked as not run may be replaced by
+ * compare-and-swap on its revision, which succeeds for one entry only.
  */
 static void
 conflict(struct claim *c, const struct claim_record *r, int64_t now_ms)
@@ -83,7 +83,7 @@
 		refuse(c, CLAIM_REFUSED_DUPLICATE);
 		return;
 	}
-	if (!in_time(c, now_ms)) {
+	if (!is_valid(c, now_ms)) {
 		refuse(c, CLAIM_REFUSED_EXPIRED);
 		return;
 	}
@@ -106,14 +106,14 @@
 		grant(c, now_ms);
 		return;
 	}
-	/* A write whose answer is lost may also take effect later on. */
+	/* A write without an answer may still take effect later. */
 	if (result == CLAIM_STORE_NO_ANSWER)
 		c->may_be_written = true;
 	if (result == CLAIM_STORE_UNAVAILABLE) {
 		refuse(c, CLAIM_REFUSED_STORE);
 		return;
 	}
-	if (!in_time(c, now_ms)) {
+	if (!is_valid(c, now_ms)) {
 		refuse(c, CLAIM_REFUSED_EXPIRED);
 		return;
 	}
@@ -121,7 +121,7 @@
 		create(c);
 		return;
 	}
-	/* Lost: a write may have taken effect, only a read can tell. */
+	/* No answer: a read shows whether the write took effect. */
 	c->state = CLAIM_READING;
 	c->ops->read(c, c->ops->ctx);
 }
@@ -129,7 +129,7 @@
 bool
 claim_may_send(const struct claim *c, int64_t now_ms)
 {
-	return c->state == CLAIM_GRANTED && in_time(c, now_ms);
+	return c->state == CLAIM_GRANTED && is_valid(c, now_ms);
 }
 
 void
--- a/core/conf.c
+++ b/core/conf.c
@@ -10,21 +10,21 @@
 struct conf {
 	struct conf_tree items;
 	struct conf_options options;
-	int64_t revision; /* complete up to here */
-	int64_t floor; /* deletions up to here may have been forgotten */
+	int64_t revision; /* in force */
+	int64_t tombstone_floor; /* tombstones up to here may be gone */
 	size_t ntombstones;
-	uint64_t mark;
+	uint64_t nsnapshots; /* number of the last snapshot */
 };
 
 static int compare(const struct conf_item *, const struct conf_item *);
 static bool is_tombstone(const struct conf_item *);
-static int64_t newest(const struct conf_item *);
-static void recount(struct conf *, const struct conf_item *, bool);
-static struct conf_item *find(const struct conf *, const char *);
-static struct conf_item *add(struct conf *, const char *);
-static void drop(struct conf *, struct conf_item *);
+static int64_t latest_revision(const struct conf_item *);
+static void count_tombstone(struct conf *, const struct conf_item *, bool);
+static struct conf_item *find_item(const struct conf *, const char *);
+static struct conf_item *add_item(struct conf *, const char *);
+static void remove_item(struct conf *, struct conf_item *);
 static bool copy_text(const struct conf_update *, char **);
-static void clear_bad(struct conf_item *);
+static void clear_refused(struct conf_item *);
 static void put_in_force(struct conf *, struct conf_item *,
     const struct record *, const struct conf_update *, char *);
 static void delete_at(struct conf *, struct conf_item *, int64_t);
@@ -33,7 +33,7 @@
 static enum conf_error apply_put(
     struct conf *, enum record_kind, const char *, const struct conf_update *);
 static enum conf_error apply_delete(struct conf *, const struct conf_update *);
-static void forget_tombstones(struct conf *);
+static void remove_tombstones(struct conf *);
 
 RB_PROTOTYPE(conf_tree, conf_item, link, compare)
 RB_GENERATE(conf_tree, conf_item, link, compare)
@@ -44,7 +44,6 @@
 	return strcmp(a->key, b->key);
 }
 
-/* A deletion that is remembered. */
 static bool
 is_tombstone(const struct conf_item *item)
 {
@@ -52,14 +51,15 @@
 }
 
 static int64_t
-newest(const struct conf_item *item)
+latest_revision(const struct conf_item *item)
 {
 	return item->bad_revision > item->revision ? item->bad_revision :
 						     item->revision;
 }
 
 static void
-recount(struct conf *c, const struct conf_item *item, bool was_tombstone)
+count_tombstone(
+    struct conf *c, const struct conf_item *item, bool was_tombstone)
 {
 	if (was_tombstone)
 		c->ntombstones--;
@@ -89,22 +89,23 @@
 	if (c == NULL)
 		return;
 	while ((item = RB_MIN(conf_tree, &c->items)) != NULL)
-		drop(c, item);
+		remove_item(c, item);
 	free(c);
 }
 
 static struct conf_item *
-find(const struct conf *c, const char *key)
+find_item(const struct conf *c, const char *key)
 {
-	struct conf_item want;
+	struct conf_item key_item;
 
-	if (strlcpy(want.key, key, sizeof(want.key)) >= sizeof(want.key))
+	if (strlcpy(key_item.key, key, sizeof(key_item.key)) >=
+	    sizeof(key_item.key))
 		return NULL;
-	return RB_FIND(conf_tree, (struct conf_tree *)&c->items, &want);
+	return RB_FIND(conf_tree, (struct conf_tree *)&c->items, &key_item);
 }
 
 static struct conf_item *
-add(struct conf *c, const char *key)
+add_item(struct conf *c, const char *key)
 {
 	struct conf_item *item;
 
@@ -119,7 +120,7 @@
 }
 
 static void
-drop(struct conf *c, struct conf_item *item)
+remove_item(struct conf *c, struct conf_item *item)
 {
 	RB_REMOVE(conf_tree, &c->items, item);
 	free(item->text);
@@ -138,7 +139,7 @@
 }
 
 static void
-clear_bad(struct conf_item *item)
+clear_refused(struct conf_item *item)
 {
 	free(item->bad_text);
 	item->bad_text = NULL;
@@ -160,8 +161,8 @@
 	item->present = true;
 	item->revision = u->revision;
 	if (item->bad_revision < u->revision)
-		clear_bad(item);
-	recount(c, item, was_tombstone);
+		clear_refused(item);
+	count_tombstone(c, item, was_tombstone);
 	if (c->options.on_change != NULL)
 		c->options.on_change(item, c->options.ctx);
 }
@@ -179,33 +180,33 @@
 	item->present = false;
 	item->revision = revision;
 	if (item->bad_revision < revision)
-		clear_bad(item);
-	recount(c, item, was_tombstone);
+		clear_refused(item);
+	count_tombstone(c, item, was_tombstone);
 	if (was_present && c->options.on_change != NULL)
 		c->options.on_change(item, c->options.ctx);
 }
 
-/* Note a record that can't be read; the one in force goes on. */
+/* Stores an invalid record as refused; the record in force stays. */
 static enum conf_error
 refuse(struct conf *c, struct conf_item *item, const struct conf_update *u,
     const struct record_fault *fault)
 {
-	struct conf_update kept;
+	struct conf_update stored;
 	bool was_tombstone;
 	char *text;
 
 	was_tombstone = is_tombstone(item);
-	kept = *u;
-	if (kept.len > RECORD_TEXT_MAX)
-		kept.len = 0;
-	if (!copy_text(&kept, &text))
+	stored = *u;
+	if (stored.len > RECORD_TEXT_MAX)
+		stored.len = 0;
+	if (!copy_text(&stored, &text))
 		return CONF_ERR_MEMORY;
-	clear_bad(item);
+	clear_refused(item);
 	item->bad_text = text;
-	item->bad_len = kept.len;
+	item->bad_len = stored.len;
 	item->bad_revision = u->revision;
 	item->fault = *fault;
-	recount(c, item, was_tombstone);
+	count_tombstone(c, item, was_tombstone);
 	return CONF_BAD_RECORD;
 }
 
@@ -218,7 +219,7 @@
 	struct record r;
 	char *text;
 
-	item = find(c, u->key);
+	item = find_item(c, u->key);
 	if (record_parse(kind, u->text, u->len, &r, &fault) == RECORD_OK &&
 	    strcmp(r.name, name) != 0) {
 		fault.error = RECORD_ERR_NAME;
@@ -231,7 +232,7 @@
 	if (fault.error != RECORD_OK && item != NULL &&
 	    u->revision <= item->bad_revision)
 		return CONF_STALE;
-	if (item == NULL && (item = add(c, u->key)) == NULL)
+	if (item == NULL && (item = add_item(c, u->key)) == NULL)
 		return CONF_ERR_MEMORY;
 	if (fault.error != RECORD_OK)
 		return refuse(c, item, u, &fault);
@@ -246,13 +247,13 @@
 {
 	struct conf_item *item;
 
-	item = find(c, u->key);
+	item = find_item(c, u->key);
 	if (item != NULL && u->revision <= item->revision)
 		return CONF_STALE;
-	if (item == NULL && (item = add(c, u->key)) == NULL)
+	if (item == NULL && (item = add_item(c, u->key)) == NULL)
 		return CONF_ERR_MEMORY;
 	delete_at(c, item, u->revision);
-	forget_tombstones(c);
+	remove_tombstones(c);
 	return CONF_OK;
 }
 
@@ -267,11 +268,11 @@
 	if (!record_key_parse(u->key, &kind, name))
 		return CONF_ERR_KEY;
 	/*
-	 * Everything up to the revision in force is known, so a key that
-	 * isn't there had been deleted by then.  Without this an event that
-	 * comes late would bring back a record whose tombstone was forgotten.
+	 * All changes up to the revision in force are known, so a key that is
+	 * not in the tree was deleted by then.  Without this check, a late
+	 * event would restore a record whose tombstone has been removed.
 	 */
-	if (u->revision <= c->revision && find(c, u->key) == NULL)
+	if (u->revision <= c->revision && find_item(c, u->key) == NULL)
 		return CONF_STALE;
 	if (u->text == NULL)
 		return apply_delete(c, u);
@@ -279,12 +280,13 @@
 }
 
 /*
- * Tombstones above the revision in force are still needed to refuse late
- * events; older ones only shorten what a peer is told, so the oldest of those
- * go first and the floor makes conf_export tell everything.
+ * Tombstones above the revision in force are needed to refuse late events.
+ * Older ones only make deltas for peers possible.  The oldest of these are
+ * removed first, and conf_export() sends all records to peers below
+ * tombstone_floor.
  */
 static void
-forget_tombstones(struct conf *c)
+remove_tombstones(struct conf *c)
 {
 	struct conf_item *item, *oldest;
 
@@ -299,9 +301,9 @@
 		}
 		if (oldest == NULL)
 			return;
-		if (oldest->revision > c->floor)
-			c->floor = oldest->revision;
-		drop(c, oldest);
+		if (oldest->revision > c->tombstone_floor)
+			c->tombstone_floor = oldest->revision;
+		remove_item(c, oldest);
 		c->ntombstones--;
 	}
 }
@@ -310,15 +312,15 @@
 conf_advance(struct conf *c, int64_t from, int64_t to)
 {
 	/*
-	 * A watch that was resumed too late, or a peer that answers for
-	 * another revision, leaves a gap.  Moving over it would report a
-	 * change as in force that was never seen.
+	 * A watch that was resumed too late or a peer that answers for another
+	 * revision leaves a gap.  Advancing past it would report changes as in
+	 * force that were never received.
 	 */
 	if (from > c->revision)
 		return false;
 	if (to > c->revision)
 		c->revision = to;
-	forget_tombstones(c);
+	remove_tombstones(c);
 	return true;
 }
 
@@ -330,35 +332,36 @@
 	enum conf_error error;
 	size_t i;
 
-	/* It tells nothing that isn't known, and may be of a lagging copy. */
+	/* Contains nothing new; may come from a lagging replica. */
 	if (revision < c->revision)
 		return CONF_STALE;
-	c->mark++;
+	c->nsnapshots++;
 	for (i = 0; i < n; i++) {
 		error = conf_apply(c, &updates[i]);
 		if (error == CONF_ERR_MEMORY)
 			return error;
-		if ((item = find(c, updates[i].key)) != NULL)
-			item->mark = c->mark;
+		if ((item = find_item(c, updates[i].key)) != NULL)
+			item->snapshot = c->nsnapshots;
 	}
 	RB_FOREACH (item, conf_tree, &c->items) {
-		/* Newer than the snapshot: it can't tell about this key. */
-		if (item->mark == c->mark || item->revision > revision)
+		/* Listed, or changed after the snapshot. */
+		if (item->snapshot == c->nsnapshots ||
+		    item->revision > revision)
 			continue;
 		/*
-		 * An older tombstone moves up too.  The key may have come
-		 * and gone since, and a late event of that would bring the
-		 * record back.
+		 * The revision of an older tombstone is raised as well.  The
+		 * key may have been created and deleted since, and a late
+		 * event of that creation would restore the record.
 		 */
 		delete_at(c, item, revision);
 	}
 	/*
-	 * What was deleted before the snapshot without having been known
-	 * here left no tombstone, so a peer that is older must be told
-	 * everything or it would keep those records.
+	 * Records that were deleted before the snapshot and never known here
+	 * left no tombstones.  A peer with an older revision must be sent all
+	 * records, or it would keep the deleted ones.
 	 */
 	if (revision > c->revision)
-		c->floor = revision;
+		c->tombstone_floor = revision;
 	conf_advance(c, 0, revision);
 	return CONF_OK;
 }
@@ -379,15 +382,15 @@
 	memset(out, 0, sizeof(*out));
 	out->since = since;
 	out->revision = c->revision;
-	out->full = since < c->floor;
+	out->full = since < c->tombstone_floor;
 	n = 0;
 	for (item = conf_first(c); item != NULL; item = conf_next(c, item))
-		n += 2; /* one in force and one refused */
+		n += 2; /* the record in force and a refused one */
 	out->updates = reallocarray(NULL, n + 1, sizeof(*out->updates));
 	if (out->updates == NULL)
 		return CONF_ERR_MEMORY;
 	for (item = conf_first(c); item != NULL; item = conf_next(c, item)) {
-		if (newest(item) <= since && !out->full)
+		if (latest_revision(item) <= since && !out->full)
 			continue;
 		if (item->revision > 0) {
 			u = &out->updates[out->n++];
@@ -408,26 +411,27 @@
 }
 
 void
-conf_delta_free(struct conf_delta *e)
+conf_delta_free(struct conf_delta *delta)
 {
-	free(e->updates);
-	memset(e, 0, sizeof(*e));
+	free(delta->updates);
+	memset(delta, 0, sizeof(*delta));
 }
 
 enum conf_error
-conf_import(struct conf *c, const struct conf_delta *e)
+conf_import(struct conf *c, const struct conf_delta *delta)
 {
 	enum conf_error error;
 	size_t i;
 
-	if (e->full)
-		return conf_snapshot(c, e->updates, e->n, e->revision);
-	for (i = 0; i < e->n; i++) {
-		error = conf_apply(c, &e->updates[i]);
+	if (delta->full)
+		return conf_snapshot(
+		    c, delta->updates, delta->n, delta->revision);
+	for (i = 0; i < delta->n; i++) {
+		error = conf_apply(c, &delta->updates[i]);
 		if (error == CONF_ERR_MEMORY)
 			return error;
 	}
-	conf_advance(c, e->since, e->revision);
+	conf_advance(c, delta->since, delta->revision);
 	return CONF_OK;
 }
 
@@ -447,14 +451,14 @@
 const struct conf_item *
 conf_get(const struct conf *c, const char *key)
 {
-	return find(c, key);
+	return find_item(c, key);
 }
 
 const char *
 conf_strerror(enum conf_error error)
 {
-	static const char *const words[] = { "ok", "stale", "bad_record",
+	static const char *const names[] = { "ok", "stale", "bad_record",
 		"bad_key", "bad_revision", "no_memory" };
 
-	return words[error];
+	return names[error];
 }
--- a/core/conflookup.c
+++ b/core/conflookup.c
@@ -1,12 +1,12 @@
 #include "conf.h"
 
-static const struct conf_item *present(
+static const struct conf_item *find_present(
     const struct conf *, enum record_kind, const char *);
 
 static struct record_policy default_policy;
 
 static const struct conf_item *
-present(const struct conf *c, enum record_kind kind, const char *name)
+find_present(const struct conf *c, enum record_kind kind, const char *name)
 {
 	char key[RECORD_KEY_SIZE];
 	const struct conf_item *item;
@@ -22,7 +22,7 @@
 {
 	const struct conf_item *item;
 
-	item = present(c, RECORD_SERVICE, name);
+	item = find_present(c, RECORD_SERVICE, name);
 	return item == NULL ? NULL : &item->record.as.service;
 }
 
@@ -31,7 +31,7 @@
 {
 	const struct conf_item *item;
 
-	item = present(c, RECORD_TEAM, name);
+	item = find_present(c, RECORD_TEAM, name);
 	return item == NULL ? NULL : &item->record.as.team;
 }
 
@@ -40,7 +40,7 @@
 {
 	const struct conf_item *item;
 
-	if ((item = present(c, RECORD_POLICY, "")) != NULL)
+	if ((item = find_present(c, RECORD_POLICY, "")) != NULL)
 		return &item->record.as.policy;
 	record_policy_default(&default_policy);
 	return &default_policy;
--- a/core/credit.c
+++ b/core/credit.c
@@ -9,7 +9,7 @@
 
 static int compare_rows(
     const struct credit_worker *, const struct credit_worker *);
-static struct credit_amount amount_of(enum credit_kind);
+static struct credit_amount amount_per_call(enum credit_kind);
 static void fence_row(
     struct credit_table *, struct credit_worker *, uint64_t epoch);
 static struct credit_amount amount_min(
@@ -46,7 +46,7 @@
 }
 
 static struct credit_amount
-amount_of(enum credit_kind kind)
+amount_per_call(enum credit_kind kind)
 {
 	struct credit_amount a;
 
@@ -68,59 +68,59 @@
 struct credit_table *
 credit_open(const struct credit_options *options)
 {
-	struct credit_table *book;
+	struct credit_table *table;
 
-	if ((book = calloc(1, sizeof(*book))) == NULL)
+	if ((table = calloc(1, sizeof(*table))) == NULL)
 		return NULL;
-	if (strlcpy(book->self, options->self, sizeof(book->self)) >=
-	    sizeof(book->self)) {
-		free(book);
+	if (strlcpy(table->self, options->self, sizeof(table->self)) >=
+	    sizeof(table->self)) {
+		free(table);
 		return NULL;
 	}
-	book->incarnation = options->incarnation;
-	book->on_spare = options->on_spare;
-	book->ctx = options->ctx;
-	RB_INIT(&book->rows);
-	RB_INIT(&book->peers);
-	LIST_INIT(&book->statements);
-	return book;
+	table->incarnation = options->incarnation;
+	table->on_spare = options->on_spare;
+	table->ctx = options->ctx;
+	RB_INIT(&table->rows);
+	RB_INIT(&table->peers);
+	LIST_INIT(&table->holdings);
+	return table;
 }
 
 void
-credit_close(struct credit_table *book)
+credit_close(struct credit_table *table)
 {
 	struct credit_worker *row;
 
-	if (book == NULL)
+	if (table == NULL)
 		return;
-	while ((row = RB_ROOT(&book->rows)) != NULL) {
-		RB_REMOVE(credit_rows, &book->rows, row);
+	while ((row = RB_ROOT(&table->rows)) != NULL) {
+		RB_REMOVE(credit_rows, &table->rows, row);
 		credit_grants_clear(row);
 		free(row);
 	}
-	credit_free_peers(book);
-	credit_free_holdings(book);
-	free(book);
+	credit_free_peers(table);
+	credit_free_holdings(table);
+	free(table);
 }
 
 struct credit_worker *
-credit_row(struct credit_table *book, const char *worker)
+credit_row(struct credit_table *table, const char *worker)
 {
 	struct credit_worker key;
 
 	if (strlcpy(key.worker, worker, sizeof(key.worker)) >=
 	    sizeof(key.worker))
 		return NULL;
-	return RB_FIND(credit_rows, &book->rows, &key);
+	return RB_FIND(credit_rows, &table->rows, &key);
 }
 
 struct credit_worker *
 credit_row_ensure(
-    struct credit_table *book, const char *worker, const char *shard)
+    struct credit_table *table, const char *worker, const char *shard)
 {
 	struct credit_worker *row;
 
-	if ((row = credit_row(book, worker)) != NULL)
+	if ((row = credit_row(table, worker)) != NULL)
 		return row;
 	if (strlen(worker) >= CREDIT_ID_MAX || strlen(shard) >= CREDIT_ID_MAX)
 		return NULL;
@@ -129,7 +129,7 @@
 	strlcpy(row->worker, worker, sizeof(row->worker));
 	strlcpy(row->shard, shard, sizeof(row->shard));
 	LIST_INIT(&row->grants);
-	if (RB_INSERT(credit_rows, &book->rows, row) != NULL) {
+	if (RB_INSERT(credit_rows, &table->rows, row) != NULL) {
 		free(row);
 		return NULL;
 	}
@@ -137,38 +137,38 @@
 }
 
 void
-credit_row_add_spare(struct credit_table *book, struct credit_worker *row,
+credit_row_add_spare(struct credit_table *table, struct credit_worker *row,
     struct credit_amount amount, int sign)
 {
 	/*
-	 * The refused call gives its credit back; taken again it would be
-	 * refused again, and every call of this entry with it, for as long as
-	 * nobody mints here.
+	 * Credits released by refused calls are void.  If they were reused,
+	 * the endpoint would refuse all calls of this entry until credits of
+	 * a new epoch are issued.
 	 */
 	if (row->fenced && sign > 0)
 		return;
 	credit_amount_add(&row->spare, amount, sign);
-	row->low = amount_min(row->low, row->spare);
+	row->min_spare = amount_min(row->min_spare, row->spare);
 	if (!row->leaving)
-		credit_amount_add(&book->spare, amount, sign);
-	if (book->on_spare != NULL)
-		book->on_spare(row, book->ctx);
+		credit_amount_add(&table->spare, amount, sign);
+	if (table->on_spare != NULL)
+		table->on_spare(row, table->ctx);
 }
 
 /*
- * Credits of lower epochs can't be used any more: the endpoint would refuse
- * the call.  Calls under way go on and are only counted.
+ * Credits of lower epochs can no longer be used, because the endpoint would
+ * refuse the call.  Calls in progress continue and are counted in older.
  */
 void
 credit_row_set_epoch(
-    struct credit_table *book, struct credit_worker *row, uint64_t epoch)
+    struct credit_table *table, struct credit_worker *row, uint64_t epoch)
 {
 	static const struct credit_amount none;
 
-	credit_row_add_spare(book, row, row->spare, -1);
+	credit_row_add_spare(table, row, row->spare, -1);
 	credit_amount_add(&row->older, row->busy, 1);
 	row->busy = none;
-	row->low = none;
+	row->min_spare = none;
 	row->capacity = none;
 	row->used_at_fence = none;
 	row->lost = none;
@@ -180,7 +180,7 @@
 }
 
 enum credit_error
-credit_issue(struct credit_table *book, const char *worker, const char *shard,
+credit_issue(struct credit_table *table, const char *worker, const char *shard,
     uint64_t epoch, struct credit_amount capacity, struct credit_amount used)
 {
 	struct credit_worker *row;
@@ -189,40 +189,40 @@
 	if (epoch == 0 || !credit_amount_valid(capacity) ||
 	    !credit_amount_valid(used))
 		return CREDIT_ERR_INVALID;
-	if ((row = credit_row_ensure(book, worker, shard)) == NULL)
+	if ((row = credit_row_ensure(table, worker, shard)) == NULL)
 		return CREDIT_ERR_MEMORY;
 	if (epoch < row->epoch)
 		return CREDIT_ERR_OLD_EPOCH;
 	if (epoch == row->epoch) {
 		memset(&usage, 0, sizeof(usage));
 		usage.used = used;
-		credit_report(book, worker, epoch, &usage);
+		credit_report(table, worker, epoch, &usage);
 		return CREDIT_ERR_ISSUED;
 	}
-	credit_row_set_epoch(book, row, epoch);
+	credit_row_set_epoch(table, row, epoch);
 	strlcpy(row->shard, shard, sizeof(row->shard));
-	strlcpy(row->owner, book->self, sizeof(row->owner));
+	strlcpy(row->owner, table->self, sizeof(row->owner));
 	row->issued = true;
 	row->capacity = capacity;
 	row->used_at_fence = amount_min(used, capacity);
 	credit_amount_add(&capacity, row->used_at_fence, -1);
-	credit_row_add_spare(book, row, capacity, 1);
+	credit_row_add_spare(table, row, capacity, 1);
 	return CREDIT_OK;
 }
 
 /*
- * Calls of lower epochs only end, never start, once the endpoint is fenced.
- * So each report at this epoch, in whatever order it comes, is an upper bound
- * for them from then on.
+ * Once the endpoint is fenced, calls of lower epochs can end but not start.
+ * Each report at this epoch is therefore an upper bound for them from then on,
+ * whatever the order of the reports.
  */
 enum credit_error
-credit_report(struct credit_table *book, const char *worker, uint64_t epoch,
+credit_report(struct credit_table *table, const char *worker, uint64_t epoch,
     const struct credit_usage *usage)
 {
 	struct credit_worker *row;
 	struct credit_amount bound, left, ended;
 
-	if ((row = credit_row(book, worker)) == NULL)
+	if ((row = credit_row(table, worker)) == NULL)
 		return CREDIT_ERR_UNKNOWN_WORKER;
 	if (epoch != row->epoch || !row->issued)
 		return CREDIT_ERR_OLD_EPOCH;
@@ -233,40 +233,40 @@
 	ended = row->used_at_fence;
 	credit_amount_add(&ended, left, -1);
 	row->used_at_fence = left;
-	credit_row_add_spare(book, row, ended, 1);
+	credit_row_add_spare(table, row, ended, 1);
 	return CREDIT_OK;
 }
 
 enum credit_error
-credit_take(struct credit_table *book, const char *worker,
+credit_take(struct credit_table *table, const char *worker,
     enum credit_kind kind, uint64_t *epoch)
 {
 	struct credit_worker *row;
 	struct credit_amount need;
 
-	if ((row = credit_row(book, worker)) == NULL)
+	if ((row = credit_row(table, worker)) == NULL)
 		return CREDIT_ERR_UNKNOWN_WORKER;
 	if (row->leaving)
 		return CREDIT_ERR_LEAVING;
-	need = amount_of(kind);
+	need = amount_per_call(kind);
 	if (!credit_amount_covers(row->spare, need))
 		return CREDIT_ERR_EMPTY;
-	credit_row_add_spare(book, row, need, -1);
+	credit_row_add_spare(table, row, need, -1);
 	credit_amount_add(&row->busy, need, 1);
 	*epoch = row->epoch;
 	return CREDIT_OK;
 }
 
 enum credit_error
-credit_release(struct credit_table *book, const char *worker, uint64_t epoch,
+credit_release(struct credit_table *table, const char *worker, uint64_t epoch,
     enum credit_kind kind, enum credit_end end)
 {
 	struct credit_worker *row;
 	struct credit_amount amount;
 
-	if ((row = credit_row(book, worker)) == NULL)
+	if ((row = credit_row(table, worker)) == NULL)
 		return CREDIT_ERR_UNKNOWN_WORKER;
-	amount = amount_of(kind);
+	amount = amount_per_call(kind);
 	if (epoch != row->epoch) {
 		if (!credit_amount_covers(row->older, amount))
 			return CREDIT_ERR_INVALID;
@@ -277,77 +277,78 @@
 		return CREDIT_ERR_INVALID;
 	credit_amount_add(&row->busy, amount, -1);
 	/*
-	 * A call that was given up on may still run, or arrive later.  Used
-	 * again, its credit would let one call too many into the endpoint.
+	 * An abandoned call may still be running or arrive later.  If its
+	 * credit were reused, the endpoint would get one call too many.
 	 */
 	if (end == CREDIT_ENDED)
-		credit_row_add_spare(book, row, amount, 1);
+		credit_row_add_spare(table, row, amount, 1);
 	else if (row->issued)
 		credit_amount_add(&row->lost, amount, 1);
 	return CREDIT_OK;
 }
 
 static void
-fence_row(struct credit_table *book, struct credit_worker *row, uint64_t epoch)
+fence_row(struct credit_table *table, struct credit_worker *row, uint64_t epoch)
 {
 	/*
-	 * The row must not come to stand at an epoch that this entry is about
-	 * to mint itself, so it stops just below the one it was told.
+	 * This entry may be about to issue the credits of the new epoch, which
+	 * credit_issue() refuses for a row that has reached it.  The row is
+	 * therefore raised only to the epoch before.
 	 */
 	if (epoch > row->epoch + 1)
-		credit_row_set_epoch(book, row, epoch - 1);
+		credit_row_set_epoch(table, row, epoch - 1);
 	else if (epoch != row->epoch + 1)
 		return;
-	credit_row_add_spare(book, row, row->spare, -1);
+	credit_row_add_spare(table, row, row->spare, -1);
 	row->fenced = true;
 }
 
 void
-credit_fenced(struct credit_table *book, const char *worker, uint64_t epoch)
+credit_fenced(struct credit_table *table, const char *worker, uint64_t epoch)
 {
 	struct credit_worker *row, *other;
 
-	if ((row = credit_row(book, worker)) == NULL)
+	if ((row = credit_row(table, worker)) == NULL)
 		return;
-	/* Epochs are the shard's: its other workers refuse as well. */
-	RB_FOREACH (other, credit_rows, &book->rows) {
+	/* Epochs are per shard, so its other workers refuse calls as well. */
+	RB_FOREACH (other, credit_rows, &table->rows) {
 		if (strcmp(other->shard, row->shard) == 0)
-			fence_row(book, other, epoch);
+			fence_row(table, other, epoch);
 	}
 }
 
 void
-credit_leaving(struct credit_table *book, const char *worker, bool leaving)
+credit_leaving(struct credit_table *table, const char *worker, bool leaving)
 {
 	struct credit_worker *row;
 
-	row = credit_row(book, worker);
+	row = credit_row(table, worker);
 	if (row == NULL || row->leaving == leaving)
 		return;
-	credit_amount_add(&book->spare, row->spare, leaving ? -1 : 1);
+	credit_amount_add(&table->spare, row->spare, leaving ? -1 : 1);
 	row->leaving = leaving;
-	if (book->on_spare != NULL)
-		book->on_spare(row, book->ctx);
+	if (table->on_spare != NULL)
+		table->on_spare(row, table->ctx);
 }
 
 void
-credit_idle(struct credit_table *book, credit_idle_cb *cb, void *ctx)
+credit_idle(struct credit_table *table, credit_idle_cb *cb, void *ctx)
 {
 	struct credit_worker *row;
-	struct credit_amount low;
+	struct credit_amount min_spare;
 
-	RB_FOREACH (row, credit_rows, &book->rows) {
-		low = row->low;
-		if (low.slots > 0 || low.connections > 0)
-			cb(row, low, ctx);
-		row->low = row->spare;
+	RB_FOREACH (row, credit_rows, &table->rows) {
+		min_spare = row->min_spare;
+		if (min_spare.slots > 0 || min_spare.connections > 0)
+			cb(row, min_spare, ctx);
+		row->min_spare = row->spare;
 	}
 }
 
 const struct credit_worker *
-credit_first(struct credit_table *book)
+credit_first(struct credit_table *table)
 {
-	return RB_MIN(credit_rows, &book->rows);
+	return RB_MIN(credit_rows, &table->rows);
 }
 
 const struct credit_worker *
@@ -357,29 +358,29 @@
 }
 
 const struct credit_worker *
-credit_find(struct credit_table *book, const char *worker)
+credit_find(struct credit_table *table, const char *worker)
 {
-	return credit_row(book, worker);
+	return credit_row(table, worker);
 }
 
 struct credit_amount
-credit_spare(const struct credit_table *book)
+credit_spare(const struct credit_table *table)
 {
-	return book->spare;
+	return table->spare;
 }
 
 bool
-credit_forget(struct credit_table *book, const char *worker)
+credit_forget(struct credit_table *table, const char *worker)
 {
 	struct credit_worker *row;
 
-	if ((row = credit_row(book, worker)) == NULL)
+	if ((row = credit_row(table, worker)) == NULL)
 		return true;
 	if (row->busy.connections > 0 || row->older.connections > 0)
 		return false;
 	if (!row->leaving)
-		credit_amount_add(&book->spare, row->spare, -1);
-	RB_REMOVE(credit_rows, &book->rows, row);
+		credit_amount_add(&table->spare, row->spare, -1);
+	RB_REMOVE(credit_rows, &table->rows, row);
 	credit_grants_clear(row);
 	free(row);
 	return true;
--- a/core/credit.h
+++ b/core/credit.h
@@ -9,21 +9,23 @@
 #include <stdint.h>
 
 /*
- * One entry's book of counted credits for the endpoints' slots and
- * connections.  A call is dispatched only on a credit, and the credits that
- * all entries hold for an endpoint never pass its capacity:
+ * One entry's table of credits for the slots and connections of endpoints.  A
+ * call is dispatched only with a credit, and the credits that all entries hold
+ * for an endpoint never exceed its capacity:
  *
- * - Only the owner of a worker's shard makes credits, once for each epoch:
+ * - Only the owner of a worker's shard issues credits, once per epoch: the
  *   capacity less what the endpoint reports in use when it is fenced.  The
- *   endpoint refuses calls of a lower epoch, so whatever older credits are
- *   still held, or travel in calls not yet arrived, is void.
- * - A credit moves by a message whose sender gave it up first.  A lost message
- *   loses the credit until the next epoch, a repeated one is recognised.
- * - A call whose end isn't known may still run: its credit is abandoned, not
- *   used again, until the next epoch's fence shows what runs.
+ *   endpoint refuses calls of a lower epoch, so older credits are void whether
+ *   they are still held or are carried by calls that have yet to arrive.
+ * - A credit is transferred by a message, after the sender has removed it from
+ *   its own table.  If the message is lost, the credit is lost until the next
+ *   epoch; duplicate messages are detected.
+ * - A call with an unknown outcome may still be running.  Its credit is
+ *   abandoned and not reused until the fence of the next epoch shows what is
+ *   running.
  *
- * An owner that has restarted must raise the epoch before it mints: of what
- * it gave away at the old one it knows nothing.
+ * An owner that has restarted must raise the epoch before it issues credits,
+ * because it does not know which credits of the old epoch it gave away.
  */
 
 #define CREDIT_ID_MAX 64
@@ -31,16 +33,16 @@
 enum credit_error {
 	CREDIT_OK,
 	CREDIT_ERR_MEMORY,
-	CREDIT_ERR_INVALID, /* a negative or huge amount, or an id too long */
+	CREDIT_ERR_INVALID, /* amount out of range, or id too long */
 	CREDIT_ERR_UNKNOWN_WORKER,
-	CREDIT_ERR_EMPTY, /* no credit left here */
-	CREDIT_ERR_LEAVING, /* the worker takes no new calls */
+	CREDIT_ERR_EMPTY, /* not enough spare credits */
+	CREDIT_ERR_LEAVING, /* the worker is draining */
 	CREDIT_ERR_OLD_EPOCH,
-	CREDIT_ERR_ISSUED, /* this epoch's credits exist already */
+	CREDIT_ERR_ISSUED, /* already issued for this epoch */
 	CREDIT_ERR_DUPLICATE,
-	CREDIT_ERR_TOO_OLD, /* beyond what duplicates are recognised in */
+	CREDIT_ERR_TOO_OLD, /* outside the window of duplicate detection */
 	CREDIT_ERR_OLD_INCARNATION, /* the sender has restarted since */
-	CREDIT_ERR_NOT_FOR_US /* sent to this entry's former incarnation */
+	CREDIT_ERR_NOT_FOR_US /* sent to another incarnation of this entry */
 };
 
 enum credit_kind {
@@ -49,7 +51,7 @@
 };
 
 enum credit_end {
-	CREDIT_ENDED, /* answered whole, refused, or never sent */
+	CREDIT_ENDED, /* answered completely, refused, or never sent */
 	CREDIT_ABANDONED /* may still run at the endpoint */
 };
 
@@ -58,7 +60,7 @@
 	int connections;
 };
 
-/* What an owner gave to one peer and hasn't got back. */
+/* Credits that an owner gave to one peer and has not got back. */
 struct credit_grant {
 	LIST_ENTRY(credit_grant) link;
 	char peer[CREDIT_ID_MAX];
@@ -67,45 +69,45 @@
 };
 LIST_HEAD(credit_grants, credit_grant);
 
-/* The book's row for one worker; read only for users. */
+/* The row of one worker; read-only for callers. */
 struct credit_worker {
 	RB_ENTRY(credit_worker) node;
 	char worker[CREDIT_ID_MAX];
 	char shard[CREDIT_ID_MAX];
 	char owner[CREDIT_ID_MAX];
 	uint64_t epoch;
-	bool issued; /* this entry made the credits of this epoch */
+	bool issued; /* by this entry, in this epoch */
 	bool leaving;
-	bool fenced; /* refused at this epoch: no credit of it is of use */
-	struct credit_amount spare; /* held here, free for a call */
-	struct credit_amount busy; /* held here, under a call */
-	struct credit_amount older; /* under calls of lower epochs from here */
-	struct credit_amount low; /* least spare since the last credit_idle */
-	/* Owner only. */
+	bool fenced; /* the endpoint refuses credits of this epoch */
+	struct credit_amount spare; /* held here, available for calls */
+	struct credit_amount busy; /* held here, used by calls */
+	struct credit_amount older; /* used by own calls of lower epochs */
+	struct credit_amount min_spare; /* since the last credit_idle() */
+	/* Only set for the owner. */
 	struct credit_amount capacity;
-	struct credit_amount
-	    used_at_fence; /* used then, not known to have ended */
+	/* Used by calls that ran at the fence and may still be running. */
+	struct credit_amount used_at_fence;
 	struct credit_amount lost; /* abandoned, or with dead peers */
 	struct credit_grants grants;
 };
 
-/* A row's spare credits changed, or whether its worker leaves. */
+/* Called when a row's spare credits or its leaving flag have changed. */
 typedef void credit_spare_cb(const struct credit_worker *, void *ctx);
 
 struct credit_options {
 	const char *self; /* this entry's id */
 	uint64_t incarnation;
-	credit_spare_cb *on_spare; /* or NULL; must not change the book */
+	credit_spare_cb *on_spare; /* or NULL; must not change the table */
 	void *ctx;
 };
 
-/* Whom credits are given to. */
+/* The receiver of credits. */
 struct credit_peer {
 	const char *peer;
 	uint64_t incarnation;
 };
 
-/* Credits on their way from one entry to another. */
+/* Credits of one worker in a message from one entry to another. */
 struct credit_transfer {
 	char worker[CREDIT_ID_MAX];
 	char shard[CREDIT_ID_MAX];
@@ -114,124 +116,131 @@
 	struct credit_amount amount;
 };
 
-/* Which message brought the transfers. */
+/* Identifies the message that contains the transfers. */
 struct credit_origin {
 	const char *from;
 	uint64_t incarnation;
 	uint64_t sequence;
-	uint64_t to_incarnation; /* the receiver's, as the sender knew it */
+	uint64_t to_incarnation; /* receiver's, as known to the sender */
 };
 
-/* What an endpoint reports as in use. */
+/* Use reported by an endpoint. */
 struct credit_usage {
-	struct credit_amount used; /* all calls */
+	struct credit_amount used; /* by all calls */
 	bool has_older;
-	struct credit_amount older; /* calls of lower epochs, if told */
+	struct credit_amount older; /* by calls of lower epochs */
 };
 
 struct credit_table;
 
-/* NULL without memory. */
+/* Returns NULL if out of memory. */
 struct credit_table *credit_open(const struct credit_options *);
 void credit_close(struct credit_table *);
 
 /*
- * The owner's first answer to a fence at this epoch.  Once an epoch; a second
- * answer is taken as a report and CREDIT_ERR_ISSUED is returned.
+ * Issues the credits of an epoch, on the endpoint's first response to the
+ * owner's fence request.  This is done once per epoch; a second response
+ * counts as a report and CREDIT_ERR_ISSUED is returned.
  */
 enum credit_error credit_issue(struct credit_table *, const char *worker,
     const char *shard, uint64_t epoch, struct credit_amount capacity,
     struct credit_amount used);
 
 /*
- * A later report of the worker, answered at this epoch: credits of calls that
- * ran at the fence and have ended since become spare.  Without has_older only
- * as many as the total in use proves.
+ * Processes a later report of the worker at this epoch.  Credits of calls that
+ * were running at the fence and have ended since become spare.  Without
+ * has_older, only as many are freed as the total use proves to have ended.
  */
 enum credit_error credit_report(struct credit_table *, const char *worker,
     uint64_t epoch, const struct credit_usage *);
 
-/* Take a credit for one call; *epoch is what the call must carry. */
+/* Takes a credit for one call, which must be sent with *epoch. */
 enum credit_error credit_take(struct credit_table *, const char *worker,
     enum credit_kind, uint64_t *epoch);
-/* The call is over, or out of sight. */
+/* Releases or abandons the credit of a call. */
 enum credit_error credit_release(struct credit_table *, const char *worker,
     uint64_t epoch, enum credit_kind, enum credit_end);
 
 /*
- * Give spare credits to a peer.  They are gone from the book when this
- * returns; *transfer is the message to send then.
+ * Gives spare credits to a peer.  On return they are removed from the table,
+ * and *transfer is to be sent to the peer.
  */
 enum credit_error credit_give(struct credit_table *, const char *worker,
     const struct credit_peer *, struct credit_amount,
     struct credit_transfer *transfer);
-/* The message certainly wasn't sent: take the credits back. */
+/* Takes the credits back.  Only if the message was certainly not sent. */
 void credit_give_cancel(
     struct credit_table *, const char *peer, const struct credit_transfer *);
 
 /*
- * A message with transfers.  Refused as a whole for what the origin says;
- * transfers of older epochs are dropped and counted in *stale.
+ * Processes a message with transfers.  The message is refused as a whole if
+ * its origin is not valid.  Single transfers that are invalid or of an older
+ * epoch are dropped and counted in *stale.
  */
 enum credit_error credit_receive(struct credit_table *,
     const struct credit_origin *, const struct credit_transfer *, size_t count,
     size_t *stale);
 
 /*
- * The endpoint refused with a higher epoch: what is held here of its shard is
- * void, and what comes back under the old epoch too.
+ * To be called when the endpoint refused a call because of a higher epoch.
+ * All credits held for its shard are void, including those that are released
+ * at the old epoch later.
  */
 void credit_fenced(struct credit_table *, const char *worker, uint64_t epoch);
 
 /*
- * Credits that a borrowing peer abandoned, as it tells the owner, which counts
- * them as lost.
+ * Processes a borrower's report to the owner that it abandoned credits, which
+ * are counted as lost.
  */
 void credit_abandoned(struct credit_table *, const char *peer,
     const char *worker, uint64_t epoch, struct credit_amount);
 
-/* Ask about each peer that has credits from here; a dead one's are lost. */
 typedef bool credit_dead_cb(const char *peer, uint64_t incarnation, void *ctx);
-/* Returns how many slots were lost so. */
+/*
+ * Calls back for each peer that was given credits.  Credits of dead peers are
+ * counted as lost; returns the number of slots lost.
+ */
 int credit_expire_peers(struct credit_table *, credit_dead_cb *, void *ctx);
 
 /*
- * A borrower's statement: so many slots of the shard it holds, spare or under
- * calls.  One that holds none says nothing.
+ * Records a borrower's report of how many slots of the shard it holds, spare
+ * or used by calls.  Borrowers that hold none send no report.
  */
 void credit_set_holding(struct credit_table *, const char *peer,
     const char *shard, uint64_t epoch, int slots, int64_t now_ms);
 /*
- * Slots of the shard that nobody is known to hold.  Credits on their way and
- * statements a few seconds old make it go up and down; what stays in it for
- * long was lost with a message.  Statements are forgotten after max_age_ms.
+ * Returns the number of issued slots of the shard that nobody is known to
+ * hold.  It fluctuates because of credits in transit and of reports that are a
+ * few seconds old; slots that stay unaccounted for long were lost with a
+ * message.  Holding reports expire after max_age_ms.
  */
 int credit_unaccounted(struct credit_table *, const char *shard, int64_t now_ms,
     int64_t max_age_ms);
 
-/* Lost slots of all workers minted here of that shard. */
+/* Lost slots of all workers of the shard for which credits were issued here. */
 int credit_lost(struct credit_table *, const char *shard);
 
-/* The spare credits of a worker that leaves don't count as spare any more. */
+/* Spare credits of draining workers are not included in credit_spare(). */
 void credit_leaving(struct credit_table *, const char *worker, bool leaving);
 
 /*
- * Offer each row whose spare credits weren't all needed since the last call:
- * amount is the least that lay spare.  Borrowers return it to the owner.
+ * Calls back for each row with credits that were not needed since the last
+ * call of credit_idle().  The amount is the minimum of the spare credits in
+ * that time; borrowers return it to the owner.
  */
 typedef void credit_idle_cb(
     const struct credit_worker *, struct credit_amount, void *ctx);
 void credit_idle(struct credit_table *, credit_idle_cb *, void *ctx);
 
-/* Rows in order of the worker's id; NULL at the end. */
+/* Rows in order of worker ids; NULL at the end. */
 const struct credit_worker *credit_first(struct credit_table *);
 const struct credit_worker *credit_next(const struct credit_worker *);
 const struct credit_worker *credit_find(struct credit_table *, const char *);
 
-/* Spare credits in all rows of workers that aren't leaving. */
+/* Sum of the spare credits of all workers that are not draining. */
 struct credit_amount credit_spare(const struct credit_table *);
 
-/* Drop a worker's row once the VM is gone; refused while calls are open. */
+/* Removes the row of a worker whose VM is gone, unless calls are open. */
 bool credit_forget(struct credit_table *, const char *worker);
 
 const char *credit_strerror(enum credit_error);
--- a/core/credit_int.h
+++ b/core/credit_int.h
@@ -7,13 +7,13 @@
 #include "credit.h"
 
 /*
- * Shared by credit.c, the rows, creditmove.c, what passes between peers, and
- * creditgrant.c, what an owner has given away.
+ * Shared by credit.c (rows), creditmove.c (transfers between peers) and
+ * creditgrant.c (credits that an owner has given away).
  */
 
 #define CREDIT_AMOUNT_MAX 1000000
 
-/* Sequences seen from one peer, to recognise repeated messages. */
+/* Sequence numbers received from one peer, to detect duplicate messages. */
 struct credit_seen {
 	RB_ENTRY(credit_seen) node;
 	char peer[CREDIT_ID_MAX];
@@ -22,14 +22,14 @@
 	uint64_t bits; /* bit i: high - i was seen */
 };
 
-/* What a borrower last said that it holds of a shard. */
+/* The slots of a shard that a borrower held at its last report. */
 struct credit_holding {
 	LIST_ENTRY(credit_holding) link;
 	char peer[CREDIT_ID_MAX];
 	char shard[CREDIT_ID_MAX];
 	uint64_t epoch;
 	int slots;
-	int64_t stated_ms;
+	int64_t reported_ms;
 };
 LIST_HEAD(credit_holdings, credit_holding);
 
@@ -41,8 +41,8 @@
 	uint64_t incarnation;
 	struct credit_rows rows;
 	struct credit_peers peers;
-	struct credit_holdings statements;
-	struct credit_amount spare; /* sum over rows that aren't leaving */
+	struct credit_holdings holdings;
+	struct credit_amount spare; /* sum over rows that are not leaving */
 	credit_spare_cb *on_spare;
 	void *ctx;
 };
@@ -52,10 +52,10 @@
     struct credit_table *, const char *worker, const char *shard);
 void credit_row_set_epoch(
     struct credit_table *, struct credit_worker *, uint64_t epoch);
-/* Add (sign 1) or take (-1) spare credits of a row. */
+/* Adds (sign 1) or removes (-1) spare credits of a row. */
 void credit_row_add_spare(struct credit_table *, struct credit_worker *,
     struct credit_amount, int sign);
-/* incarnation 0: whichever it is. */
+/* With sign -1 the incarnation is ignored and may be 0. */
 void credit_grant_add(struct credit_worker *, const char *peer,
     uint64_t incarnation, struct credit_amount, int sign);
 void credit_grants_clear(struct credit_worker *);
--- a/core/creditgrant.c
+++ b/core/creditgrant.c
@@ -8,20 +8,21 @@
 #include "credit_int.h"
 
 /*
- * What an owner gave away, by peer.  Credits pass on from peer to peer, so
- * this is only a hint of where they are, and never goes below zero: it tells
- * the owner when raising the epoch would bring credits back.
+ * Credits that an owner has given away, by peer.  Peers may pass credits on to
+ * other peers, so the amounts are only a hint of where credits are, and never
+ * become negative.  From them the owner learns when raising the epoch would
+ * recover credits.
  */
 
-static struct credit_grant *find(struct credit_worker *, const char *);
-static void drop(struct credit_grant *);
-static struct credit_holding *statement_of(
+static struct credit_grant *find_grant(struct credit_worker *, const char *);
+static void free_grant(struct credit_grant *);
+static struct credit_holding *find_or_add_holding(
     struct credit_table *, const char *, const char *);
-static int stated(struct credit_table *, const char *, uint64_t);
-static void forget_before(struct credit_table *, int64_t);
+static int sum_holdings(struct credit_table *, const char *, uint64_t);
+static void expire_holdings(struct credit_table *, int64_t);
 
 static struct credit_grant *
-find(struct credit_worker *row, const char *peer)
+find_grant(struct credit_worker *row, const char *peer)
 {
 	struct credit_grant *grant;
 
@@ -33,7 +34,7 @@
 }
 
 static void
-drop(struct credit_grant *grant)
+free_grant(struct credit_grant *grant)
 {
 	LIST_REMOVE(grant, link);
 	free(grant);
@@ -46,7 +47,7 @@
 
 	for (grant = LIST_FIRST(&row->grants); grant != NULL; grant = next) {
 		next = LIST_NEXT(grant, link);
-		drop(grant);
+		free_grant(grant);
 	}
 }
 
@@ -56,14 +57,14 @@
 {
 	struct credit_grant *grant;
 
-	if ((grant = find(row, peer)) == NULL) {
+	if ((grant = find_grant(row, peer)) == NULL) {
 		if (sign < 0 || (grant = calloc(1, sizeof(*grant))) == NULL)
 			return;
 		strlcpy(grant->peer, peer, sizeof(grant->peer));
 		LIST_INSERT_HEAD(&row->grants, grant, link);
 	}
 	if (sign > 0 && incarnation != grant->incarnation) {
-		/* What its former incarnation had went with it. */
+		/* Credits of the previous incarnation are lost. */
 		credit_amount_add(&row->lost, grant->amount, 1);
 		memset(&grant->amount, 0, sizeof(grant->amount));
 		grant->incarnation = incarnation;
@@ -74,16 +75,16 @@
 	if (grant->amount.connections < 0)
 		grant->amount.connections = 0;
 	if (grant->amount.slots == 0 && grant->amount.connections == 0)
-		drop(grant);
+		free_grant(grant);
 }
 
 void
-credit_abandoned(struct credit_table *book, const char *peer,
+credit_abandoned(struct credit_table *table, const char *peer,
     const char *worker, uint64_t epoch, struct credit_amount amount)
 {
 	struct credit_worker *row;
 
-	row = credit_row(book, worker);
+	row = credit_row(table, worker);
 	if (row == NULL || !row->issued || row->epoch != epoch ||
 	    !credit_amount_valid(amount))
 		return;
@@ -93,7 +94,7 @@
 
 int
 credit_expire_peers(
-    struct credit_table *book, credit_dead_cb *is_dead, void *ctx)
+    struct credit_table *table, credit_dead_cb *is_dead, void *ctx)
 {
 	const struct credit_worker *first, *next;
 	struct credit_grant *grant, *following;
@@ -101,9 +102,9 @@
 	int slots;
 
 	slots = 0;
-	for (first = credit_first(book); first != NULL; first = next) {
+	for (first = credit_first(table); first != NULL; first = next) {
 		next = credit_next(first);
-		row = credit_row(book, first->worker);
+		row = credit_row(table, first->worker);
 		for (grant = LIST_FIRST(&row->grants); grant != NULL;
 		     grant = following) {
 			following = LIST_NEXT(grant, link);
@@ -111,20 +112,20 @@
 				continue;
 			slots += grant->amount.slots;
 			credit_amount_add(&row->lost, grant->amount, 1);
-			drop(grant);
+			free_grant(grant);
 		}
 	}
 	return slots;
 }
 
 int
-credit_lost(struct credit_table *book, const char *shard)
+credit_lost(struct credit_table *table, const char *shard)
 {
 	const struct credit_worker *row;
 	int slots;
 
 	slots = 0;
-	for (row = credit_first(book); row != NULL; row = credit_next(row)) {
+	for (row = credit_first(table); row != NULL; row = credit_next(row)) {
 		if (row->issued && strcmp(row->shard, shard) == 0)
 			slots += row->lost.slots;
 	}
@@ -132,82 +133,85 @@
 }
 
 static struct credit_holding *
-statement_of(struct credit_table *book, const char *peer, const char *shard)
+find_or_add_holding(
+    struct credit_table *table, const char *peer, const char *shard)
 {
-	struct credit_holding *st;
+	struct credit_holding *holding;
 
-	LIST_FOREACH (st, &book->statements, link) {
-		if (strcmp(st->peer, peer) == 0 &&
-		    strcmp(st->shard, shard) == 0)
-			return st;
+	LIST_FOREACH (holding, &table->holdings, link) {
+		if (strcmp(holding->peer, peer) == 0 &&
+		    strcmp(holding->shard, shard) == 0)
+			return holding;
 	}
-	if ((st = calloc(1, sizeof(*st))) == NULL)
+	if ((holding = calloc(1, sizeof(*holding))) == NULL)
 		return NULL;
-	strlcpy(st->peer, peer, sizeof(st->peer));
-	strlcpy(st->shard, shard, sizeof(st->shard));
-	LIST_INSERT_HEAD(&book->statements, st, link);
-	return st;
+	strlcpy(holding->peer, peer, sizeof(holding->peer));
+	strlcpy(holding->shard, shard, sizeof(holding->shard));
+	LIST_INSERT_HEAD(&table->holdings, holding, link);
+	return holding;
 }
 
 void
-credit_set_holding(struct credit_table *book, const char *peer,
+credit_set_holding(struct credit_table *table, const char *peer,
     const char *shard, uint64_t epoch, int slots, int64_t now_ms)
 {
-	struct credit_holding *st;
+	struct credit_holding *holding;
 
-	if ((st = statement_of(book, peer, shard)) == NULL)
+	if ((holding = find_or_add_holding(table, peer, shard)) == NULL)
 		return;
-	st->epoch = epoch;
-	st->slots = slots;
-	st->stated_ms = now_ms;
+	holding->epoch = epoch;
+	holding->slots = slots;
+	holding->reported_ms = now_ms;
 }
 
 static void
-forget_before(struct credit_table *book, int64_t before_ms)
+expire_holdings(struct credit_table *table, int64_t before_ms)
 {
-	struct credit_holding *st, *next;
+	struct credit_holding *holding, *next;
 
-	for (st = LIST_FIRST(&book->statements); st != NULL; st = next) {
-		next = LIST_NEXT(st, link);
-		if (st->stated_ms >= before_ms)
+	for (holding = LIST_FIRST(&table->holdings); holding != NULL;
+	     holding = next) {
+		next = LIST_NEXT(holding, link);
+		if (holding->reported_ms >= before_ms)
 			continue;
-		LIST_REMOVE(st, link);
-		free(st);
+		LIST_REMOVE(holding, link);
+		free(holding);
 	}
 }
 
 void
-credit_free_holdings(struct credit_table *book)
+credit_free_holdings(struct credit_table *table)
 {
-	forget_before(book, INT64_MAX);
+	expire_holdings(table, INT64_MAX);
 }
 
 static int
-stated(struct credit_table *book, const char *shard, uint64_t epoch)
+sum_holdings(struct credit_table *table, const char *shard, uint64_t epoch)
 {
-	struct credit_holding *st;
+	struct credit_holding *holding;
 	int slots;
 
 	slots = 0;
-	LIST_FOREACH (st, &book->statements, link) {
-		if (st->epoch == epoch && strcmp(st->shard, shard) == 0)
-			slots += st->slots;
+	LIST_FOREACH (holding, &table->holdings, link) {
+		if (holding->epoch == epoch &&
+		    strcmp(holding->shard, shard) == 0)
+			slots += holding->slots;
 	}
 	return slots;
 }
 
 int
-credit_unaccounted(struct credit_table *book, const char *shard, int64_t now_ms,
-    int64_t max_age_ms)
+credit_unaccounted(struct credit_table *table, const char *shard,
+    int64_t now_ms, int64_t max_age_ms)
 {
 	const struct credit_worker *row;
 	uint64_t epoch;
 	int slots;
 
-	forget_before(book, now_ms - max_age_ms);
+	expire_holdings(table, now_ms - max_age_ms);
 	epoch = 0;
 	slots = 0;
-	for (row = credit_first(book); row != NULL; row = credit_next(row)) {
+	for (row = credit_first(table); row != NULL; row = credit_next(row)) {
 		if (!row->issued || row->fenced ||
 		    strcmp(row->shard, shard) != 0)
 			continue;
@@ -215,6 +219,6 @@
 		slots += row->capacity.slots - row->used_at_fence.slots -
 		    row->spare.slots - row->busy.slots - row->lost.slots;
 	}
-	slots -= stated(book, shard, epoch);
+	slots -= sum_holdings(table, shard, epoch);
 	return slots < 0 ? 0 : slots;
 }
--- a/core/creditmove.c
+++ b/core/creditmove.c
@@ -10,10 +10,10 @@
 #define WINDOW_BITS 64
 
 static int compare_seen(const struct credit_seen *, const struct credit_seen *);
-static enum credit_error window_add(struct credit_seen *, uint64_t);
-static enum credit_error seen_check(
+static enum credit_error window_insert(struct credit_seen *, uint64_t);
+static enum credit_error check_origin(
     struct credit_table *, const struct credit_origin *);
-static enum credit_error receive_one(
+static enum credit_error receive_transfer(
     struct credit_table *, const char *, const struct credit_transfer *);
 
 RB_GENERATE_INTERNAL(credit_peers, credit_seen, node, compare_seen,
@@ -26,7 +26,7 @@
 }
 
 enum credit_error
-credit_give(struct credit_table *book, const char *worker,
+credit_give(struct credit_table *table, const char *worker,
     const struct credit_peer *to, struct credit_amount amount,
     struct credit_transfer *transfer)
 {
@@ -34,11 +34,11 @@
 
 	if (!credit_amount_valid(amount) || strlen(to->peer) >= CREDIT_ID_MAX)
 		return CREDIT_ERR_INVALID;
-	if ((row = credit_row(book, worker)) == NULL)
+	if ((row = credit_row(table, worker)) == NULL)
 		return CREDIT_ERR_UNKNOWN_WORKER;
 	if (!credit_amount_covers(row->spare, amount))
 		return CREDIT_ERR_EMPTY;
-	credit_row_add_spare(book, row, amount, -1);
+	credit_row_add_spare(table, row, amount, -1);
 	if (row->issued)
 		credit_grant_add(row, to->peer, to->incarnation, amount, 1);
 	memset(transfer, 0, sizeof(*transfer));
@@ -51,21 +51,21 @@
 }
 
 void
-credit_give_cancel(struct credit_table *book, const char *peer,
+credit_give_cancel(struct credit_table *table, const char *peer,
     const struct credit_transfer *transfer)
 {
 	struct credit_worker *row;
 
-	row = credit_row(book, transfer->worker);
+	row = credit_row(table, transfer->worker);
 	if (row == NULL || row->epoch != transfer->epoch)
 		return;
-	credit_row_add_spare(book, row, transfer->amount, 1);
+	credit_row_add_spare(table, row, transfer->amount, 1);
 	if (row->issued)
 		credit_grant_add(row, peer, 0, transfer->amount, -1);
 }
 
 static enum credit_error
-window_add(struct credit_seen *seen, uint64_t sequence)
+window_insert(struct credit_seen *seen, uint64_t sequence)
 {
 	uint64_t distance;
 
@@ -87,27 +87,28 @@
 }
 
 /*
- * A repeated transfer would double credits.  It is recognised by the sender's
- * incarnation and sequence; a receiver that restarted has forgotten those and
- * its former self's calls may still run, so it refuses what was sent to it.
+ * Refuses duplicate messages, which would duplicate credits.  They are
+ * detected by the sender's incarnation and sequence number.  A receiver that
+ * has restarted no longer knows these, and calls of its previous incarnation
+ * may still be running, so it refuses messages sent to that incarnation.
  */
 static enum credit_error
-seen_check(struct credit_table *book, const struct credit_origin *origin)
+check_origin(struct credit_table *table, const struct credit_origin *origin)
 {
 	struct credit_seen key, *seen;
 
-	if (origin->to_incarnation != book->incarnation)
+	if (origin->to_incarnation != table->incarnation)
 		return CREDIT_ERR_NOT_FOR_US;
 	if (strlcpy(key.peer, origin->from, sizeof(key.peer)) >=
 	    sizeof(key.peer))
 		return CREDIT_ERR_INVALID;
-	seen = RB_FIND(credit_peers, &book->peers, &key);
+	seen = RB_FIND(credit_peers, &table->peers, &key);
 	if (seen == NULL) {
 		if ((seen = calloc(1, sizeof(*seen))) == NULL)
 			return CREDIT_ERR_MEMORY;
 		strlcpy(seen->peer, origin->from, sizeof(seen->peer));
 		seen->incarnation = origin->incarnation;
-		if (RB_INSERT(credit_peers, &book->peers, seen) != NULL) {
+		if (RB_INSERT(credit_peers, &table->peers, seen) != NULL) {
 			free(seen);
 			return CREDIT_ERR_INVALID;
 		}
@@ -119,59 +120,60 @@
 		seen->high = 0;
 		seen->bits = 0;
 	}
-	return window_add(seen, origin->sequence);
+	return window_insert(seen, origin->sequence);
 }
 
 static enum credit_error
-receive_one(struct credit_table *book, const char *from,
+receive_transfer(struct credit_table *table, const char *from,
     const struct credit_transfer *transfer)
 {
 	struct credit_worker *row;
 
 	if (!credit_amount_valid(transfer->amount) || transfer->epoch == 0)
 		return CREDIT_ERR_INVALID;
-	row = credit_row_ensure(book, transfer->worker, transfer->shard);
+	row = credit_row_ensure(table, transfer->worker, transfer->shard);
 	if (row == NULL)
 		return CREDIT_ERR_MEMORY;
 	if (transfer->epoch < row->epoch ||
 	    (transfer->epoch == row->epoch && row->fenced))
 		return CREDIT_ERR_OLD_EPOCH;
 	if (transfer->epoch > row->epoch)
-		credit_row_set_epoch(book, row, transfer->epoch);
+		credit_row_set_epoch(table, row, transfer->epoch);
 	if (!row->issued)
 		strlcpy(row->owner, transfer->owner, sizeof(row->owner));
-	credit_row_add_spare(book, row, transfer->amount, 1);
+	credit_row_add_spare(table, row, transfer->amount, 1);
 	if (row->issued)
 		credit_grant_add(row, from, 0, transfer->amount, -1);
 	return CREDIT_OK;
 }
 
 enum credit_error
-credit_receive(struct credit_table *book, const struct credit_origin *origin,
+credit_receive(struct credit_table *table, const struct credit_origin *origin,
     const struct credit_transfer *transfers, size_t count, size_t *stale)
 {
 	enum credit_error error;
 	size_t i;
 
 	*stale = 0;
-	if ((error = seen_check(book, origin)) != CREDIT_OK)
+	if ((error = check_origin(table, origin)) != CREDIT_OK)
 		return error;
 	for (i = 0; i < count; i++) {
-		if (receive_one(book, origin->from, &transfers[i]) != CREDIT_OK)
+		if (receive_transfer(table, origin->from, &transfers[i]) !=
+		    CREDIT_OK)
 			(*stale)++;
 	}
 	return CREDIT_OK;
 }
 
 void
-credit_free_peers(struct credit_table *book)
+credit_free_peers(struct credit_table *table)
 {
 	struct credit_seen *seen, *next;
 
-	for (seen = RB_MIN(credit_peers, &book->peers); seen != NULL;
+	for (seen = RB_MIN(credit_peers, &table->peers); seen != NULL;
 	     seen = next) {
-		next = RB_NEXT(credit_peers, &book->peers, seen);
-		RB_REMOVE(credit_peers, &book->peers, seen);
+		next = RB_NEXT(credit_peers, &table->peers, seen);
+		RB_REMOVE(credit_peers, &table->peers, seen);
 		free(seen);
 	}
 }
--- a/core/evict.c
+++ b/core/evict.c
@@ -3,48 +3,49 @@
 
 #include "evict.h"
 
-#define PRESSURE_STEP 0.4 /* of the way, for each measurement */
-#define EXCESS_STEP 0.5
-#define SEVERE_RATIO 2.0 /* of the target: counts as two misses */
-#define EXCESS_MAX 3.0 /* a wilder one gains no more */
-#define LEAST_EXCESS 0.1
-#define SHED_MIN_PERCENT 10
-#define LEAST_SLOWDOWN 0.03 /* ln; tasks that explain less aren't the cause */
-#define THROTTLE_COST 0.3 /* of holding a task to nothing for a while */
-#define EVICTION_COST 0.2 /* of one checkpoint and a new start */
-#define LOSS_COST 0.5 /* of losing a whole run */
-#define UNKNOWN_RUN_MS 600000
-#define URGENT_FACTOR 2.0
+#define PRESSURE_WEIGHT 0.4 /* of a new measurement */
+#define EXCESS_WEIGHT 0.5
+#define SEVERE_RATIO 2.0 /* p99 / target that counts as two misses */
+#define EXCESS_MAX 3.0 /* the gain does not grow beyond this */
+#define EXCESS_MIN 0.1
+#define SHED_PERCENT_MIN 10
+#define SLOWDOWN_MIN 0.03 /* ln; below this tasks aren't the cause */
+#define THROTTLE_COST 0.3 /* of throttling a task to 0 percent */
+#define EVICTION_COST 0.2 /* of one checkpoint and restart */
+#define RUN_LOSS_COST 0.5 /* of losing the work of a whole run */
+#define RUN_DEFAULT_MS 600000
+#define URGENT_COST_FACTOR 2.0
 
-/* One possible action and its worth. */
-struct option {
+/* One possible action and its net benefit. */
+struct candidate {
 	struct evict_result result;
-	double worth;
-	double loss;
+	double benefit;
+	double cost;
 };
 
-static double parts(struct learn_worker *, int, const struct evict_task *,
-    size_t, int64_t, double *, size_t);
-static int next_percent(const struct evict_options *, int);
-static int next_release(const struct evict_options *, int);
-static double loss_of(
+static double task_slowdowns(struct learn_worker *, int,
+    const struct evict_task *, size_t, int64_t, double *, size_t);
+static int throttle_step(const struct evict_options *, int);
+static int release_step(const struct evict_options *, int);
+static double action_cost(
     const struct evict_options *, const struct evict_task *, enum evict_action);
-static int is_protected(
+static int is_eviction_protected(
     const struct evict_options *, const struct evict_task *);
-static int offer(struct option *, const struct option *);
-static void consider(const struct evict_options *, const struct evict_service *,
-    const struct evict_task *, int, double, struct option[2]);
-static struct evict_result release(const struct evict_options *,
+static int keep_better(struct candidate *, const struct candidate *);
+static void weigh_task(const struct evict_options *,
+    const struct evict_service *, const struct evict_task *, int, double,
+    struct candidate[2]);
+static struct evict_result release_task(const struct evict_options *,
     struct evict_service *, const struct evict_task *, size_t, int64_t);
-static struct evict_result protect(const struct evict_options *,
+static struct evict_result protect_service(const struct evict_options *,
     struct evict_service *, struct learn_worker *, const struct evict_task *,
     size_t, int64_t);
-static struct evict_result nothing(enum evict_reason);
-static int64_t spare_of(const struct evict_service *);
-static struct evict_result shed(
+static struct evict_result no_action(enum evict_reason);
+static int64_t spare_cpu_millis(const struct evict_service *);
+static struct evict_result shed_cpu(
     struct evict_service *, const struct evict_task *, size_t);
 
-#define TASKS_MAX 128 /* weighed on one worker */
+#define WEIGHED_TASKS_MAX 128 /* considered on one worker */
 
 void
 evict_options_default(struct evict_options *o)
@@ -56,7 +57,7 @@
 	o->act_pressure = 0.6;
 	o->clear_ratio = 0.95;
 	o->settle_ms = 6000;
-	o->quiet_ms = 20000;
+	o->on_target_min_ms = 20000;
 	o->throttle_percent = 50;
 	o->throttle_min_percent = 20;
 	o->max_evictions = 3;
@@ -74,30 +75,30 @@
 		return;
 	s->measured_ms = measured_ms;
 	/*
-	 * A measurement made before the last action could show cannot say
-	 * whether it helped.  Taken in, it would evict one task after another
-	 * for a disturbance that is already over.
+	 * A measurement made before the last action can show doesn't tell
+	 * whether the action helped.  If it counted, one task after another
+	 * would be evicted for an interference that is already over.
 	 */
 	if (s->last_action_ms != 0 &&
 	    measured_ms < s->last_action_ms + o->settle_ms)
 		return;
-	s->seen++;
+	s->measurements++;
 	ratio = p99_ms / s->target_p99_ms;
-	s->excess += EXCESS_STEP * (ratio - s->excess);
+	s->excess += EXCESS_WEIGHT * (ratio - s->excess);
 	if (ratio <= 1)
-		s->pressure -= PRESSURE_STEP * s->pressure;
+		s->pressure -= PRESSURE_WEIGHT * s->pressure;
 	else
-		s->pressure += PRESSURE_STEP * (1 - s->pressure);
+		s->pressure += PRESSURE_WEIGHT * (1 - s->pressure);
 	if (ratio > SEVERE_RATIO)
-		s->pressure += PRESSURE_STEP * (1 - s->pressure);
+		s->pressure += PRESSURE_WEIGHT * (1 - s->pressure);
 	if (ratio > o->clear_ratio)
-		s->quiet_ms = 0;
-	else if (s->quiet_ms == 0)
-		s->quiet_ms = measured_ms;
+		s->on_target_since_ms = 0;
+	else if (s->on_target_since_ms == 0)
+		s->on_target_since_ms = measured_ms;
 }
 
 static struct evict_result
-nothing(enum evict_reason reason)
+no_action(enum evict_reason reason)
 {
 	struct evict_result r;
 
@@ -108,10 +109,11 @@
 	return r;
 }
 
-/* The part of each task in the slowdown; returns the sum. */
+/* Estimates the slowdown that each task causes; returns the sum. */
 static double
-parts(struct learn_worker *learnt, int kind, const struct evict_task *t,
-    size_t n, int64_t now_ms, double *part, size_t max)
+task_slowdowns(struct learn_worker *learnt, int kind,
+    const struct evict_task *t, size_t n, int64_t now_ms, double *slowdown,
+    size_t max)
 {
 	double sum;
 	size_t i;
@@ -119,19 +121,19 @@
 	sum = 0;
 	for (i = 0; i < n && i < max; i++) {
 		if (learnt != NULL)
-			part[i] = learn_contribution(
+			slowdown[i] = learn_contribution(
 			    learnt, kind, t[i].kind, t[i].cpu_millis, now_ms);
 		else
-			part[i] =
+			slowdown[i] =
 			    (double)t[i].cpu_millis / MILLIS_PER_PROCESSOR;
-		sum += part[i];
+		sum += slowdown[i];
 	}
 	return sum;
 }
 
-/* The next lower step of throttling, or 0 at the last. */
+/* The next lower throttling step, or 0 if there is none. */
 static int
-next_percent(const struct evict_options *o, int percent)
+throttle_step(const struct evict_options *o, int percent)
 {
 	if (percent > o->throttle_percent)
 		return o->throttle_percent;
@@ -141,13 +143,13 @@
 }
 
 static int
-next_release(const struct evict_options *o, int percent)
+release_step(const struct evict_options *o, int percent)
 {
 	return percent < o->throttle_percent ? o->throttle_percent : 100;
 }
 
 static int
-is_protected(const struct evict_options *o, const struct evict_task *t)
+is_eviction_protected(const struct evict_options *o, const struct evict_task *t)
 {
 	int max;
 
@@ -156,107 +158,113 @@
 }
 
 static double
-loss_of(const struct evict_options *o, const struct evict_task *t,
+action_cost(const struct evict_options *o, const struct evict_task *t,
     enum evict_action action)
 {
-	double loss, run_ms;
+	double cost, run_ms;
 
-	run_ms = t->run_ms > 0 ? (double)t->run_ms : UNKNOWN_RUN_MS;
-	loss = o->eviction_weight * EVICTION_COST * (1 + t->evictions);
+	run_ms = t->run_ms > 0 ? (double)t->run_ms : RUN_DEFAULT_MS;
+	cost = o->eviction_weight * EVICTION_COST * (1 + t->evictions);
 	if (action == EVICT_THROTTLE)
-		loss = o->throughput_weight * THROTTLE_COST *
-		    (t->percent - next_percent(o, t->percent)) / 100;
+		cost = o->throughput_weight * THROTTLE_COST *
+		    (t->percent - throttle_step(o, t->percent)) / 100;
 	if (action == EVICT_STOP)
-		loss += o->throughput_weight * LOSS_COST *
+		cost += o->throughput_weight * RUN_LOSS_COST *
 		    fmin(1, (double)t->unsaved_ms / run_ms);
-	return t->urgent ? loss * URGENT_FACTOR : loss;
+	return t->urgent ? cost * URGENT_COST_FACTOR : cost;
 }
 
 static int
-offer(struct option *best, const struct option *o)
+keep_better(struct candidate *best, const struct candidate *o)
 {
-	if (o->worth <= best->worth)
+	if (o->benefit <= best->benefit)
 		return 0;
 	*best = *o;
 	return 1;
 }
 
-/* Weigh the next step against one task: best[0] throttles, best[1] evicts. */
+/*
+ * Weighs the next action against one task.  best[0] is the best throttling so
+ * far, best[1] the best eviction.
+ */
 static void
-consider(const struct evict_options *o, const struct evict_service *s,
-    const struct evict_task *t, int index, double share, struct option best[2])
+weigh_task(const struct evict_options *o, const struct evict_service *s,
+    const struct evict_task *t, int index, double share,
+    struct candidate best[2])
 {
-	struct option option;
+	struct candidate candidate;
 	double gain;
 	int percent;
 
 	gain = o->tail_weight * share *
-	    fmin(EXCESS_MAX, fmax(LEAST_EXCESS, s->excess - o->clear_ratio));
+	    fmin(EXCESS_MAX, fmax(EXCESS_MIN, s->excess - o->clear_ratio));
 	if (s->calls_share > 0)
 		gain *= fmin(1, s->calls_share * s->calls_share);
-	option.result = nothing(EVICT_LIKELY_CAUSE);
-	option.result.index = index;
-	option.result.share = share;
-	if ((percent = next_percent(o, t->percent)) != 0) {
-		option.result.action = EVICT_THROTTLE;
-		option.result.percent = percent;
-		option.loss = loss_of(o, t, EVICT_THROTTLE);
-		option.worth =
-		    gain * (t->percent - percent) / t->percent - option.loss;
-		(void)offer(&best[0], &option);
+	candidate.result = no_action(EVICT_LIKELY_CAUSE);
+	candidate.result.index = index;
+	candidate.result.share = share;
+	if ((percent = throttle_step(o, t->percent)) != 0) {
+		candidate.result.action = EVICT_THROTTLE;
+		candidate.result.percent = percent;
+		candidate.cost = action_cost(o, t, EVICT_THROTTLE);
+		candidate.benefit =
+		    gain * (t->percent - percent) / t->percent - candidate.cost;
+		(void)keep_better(&best[0], &candidate);
 		return;
 	}
-	if (is_protected(o, t))
+	if (is_eviction_protected(o, t))
 		return;
-	option.result.percent = 0;
-	option.result.action = t->no_checkpoint ? EVICT_STOP : EVICT_CHECKPOINT;
-	option.loss = loss_of(o, t, option.result.action);
-	option.worth = gain - option.loss;
-	if (best[1].result.index >= 0 && option.loss < best[1].loss &&
-	    option.result.share < best[1].result.share)
-		option.result.reason = EVICT_LEAST_WORK_LOST;
-	(void)offer(&best[1], &option);
+	candidate.result.percent = 0;
+	candidate.result.action =
+	    t->no_checkpoint ? EVICT_STOP : EVICT_CHECKPOINT;
+	candidate.cost = action_cost(o, t, candidate.result.action);
+	candidate.benefit = gain - candidate.cost;
+	if (best[1].result.index >= 0 && candidate.cost < best[1].cost &&
+	    candidate.result.share < best[1].result.share)
+		candidate.result.reason = EVICT_LEAST_WORK_LOST;
+	(void)keep_better(&best[1], &candidate);
 }
 
 static struct evict_result
-protect(const struct evict_options *o, struct evict_service *s,
+protect_service(const struct evict_options *o, struct evict_service *s,
     struct learn_worker *learnt, const struct evict_task *t, size_t n,
     int64_t now_ms)
 {
-	struct option best[2];
-	double part[TASKS_MAX], sum;
+	struct candidate best[2];
+	double slowdown[WEIGHED_TASKS_MAX], sum;
 	size_t i;
-	int likely, guarded;
+	int likely, exempt;
 
 	memset(best, 0, sizeof(best));
-	best[0].result = best[1].result = nothing(EVICT_COST_TOO_HIGH);
-	likely = guarded = 0;
-	n = n < TASKS_MAX ? n : TASKS_MAX;
-	sum = parts(learnt, s->kind, t, n, now_ms, part, TASKS_MAX);
-	if (sum <= 0 || (learnt != NULL && sum < LEAST_SLOWDOWN))
-		return nothing(EVICT_NO_LIKELY_CAUSE);
+	best[0].result = best[1].result = no_action(EVICT_COST_TOO_HIGH);
+	likely = exempt = 0;
+	n = n < WEIGHED_TASKS_MAX ? n : WEIGHED_TASKS_MAX;
+	sum = task_slowdowns(
+	    learnt, s->kind, t, n, now_ms, slowdown, WEIGHED_TASKS_MAX);
+	if (sum <= 0 || (learnt != NULL && sum < SLOWDOWN_MIN))
+		return no_action(EVICT_NO_LIKELY_CAUSE);
 	for (i = 0; i < n; i++) {
-		if (part[i] / sum < o->min_share)
+		if (slowdown[i] / sum < o->min_share)
 			continue;
 		likely++;
-		guarded += next_percent(o, t[i].percent) == 0 &&
-		    is_protected(o, &t[i]);
-		consider(o, s, &t[i], (int)i, part[i] / sum, best);
+		exempt += throttle_step(o, t[i].percent) == 0 &&
+		    is_eviction_protected(o, &t[i]);
+		weigh_task(o, s, &t[i], (int)i, slowdown[i] / sum, best);
 	}
 	if (likely == 0)
-		return nothing(EVICT_NO_LIKELY_CAUSE);
-	if (guarded == likely)
-		return nothing(EVICT_PROTECTED);
+		return no_action(EVICT_NO_LIKELY_CAUSE);
+	if (exempt == likely)
+		return no_action(EVICT_PROTECTED);
 	i = best[0].result.index >= 0 ? 0 : 1;
 	if (best[i].result.index >= 0) {
 		s->last_action_ms = now_ms;
-		s->seen = 0;
+		s->measurements = 0;
 	}
 	return best[i].result;
 }
 
 static int64_t
-spare_of(const struct evict_service *s)
+spare_cpu_millis(const struct evict_service *s)
 {
 	if (s->capacity_cpu_millis <= 0)
 		return INT64_MAX;
@@ -264,58 +272,63 @@
 }
 
 /*
- * The VM carries more than its processors: some job declared too little.
- * Hold the task that uses most to what fits; its percent is of its full
- * speed, as cpu_millis is what it uses now.
+ * Handles a VM whose CPU use exceeds its capacity because a job declared too
+ * little.  Throttles the task that uses most until the rest fits.  The new
+ * percentage refers to its full speed, cpu_millis to its current one.
  */
 static struct evict_result
-shed(struct evict_service *s, const struct evict_task *t, size_t n)
+shed_cpu(struct evict_service *s, const struct evict_task *t, size_t n)
 {
 	struct evict_result r;
 	int64_t left;
 	size_t i;
 
-	r = nothing(EVICT_ON_TARGET);
+	r = no_action(EVICT_ON_TARGET);
 	for (i = 0; i < n; i++) {
-		if (t[i].percent <= SHED_MIN_PERCENT || t[i].cpu_millis <= 0 ||
+		if (t[i].percent <= SHED_PERCENT_MIN || t[i].cpu_millis <= 0 ||
 		    (r.index >= 0 && t[i].cpu_millis <= t[r.index].cpu_millis))
 			continue;
 		r.index = (int)i;
 	}
 	if (r.index < 0)
-		return nothing(EVICT_NO_TASKS);
-	left = t[r.index].cpu_millis + spare_of(s);
+		return no_action(EVICT_NO_TASKS);
+	left = t[r.index].cpu_millis + spare_cpu_millis(s);
 	r.action = EVICT_THROTTLE;
 	r.reason = EVICT_CPU_OVERCOMMIT;
 	r.percent = (int)(t[r.index].percent * left / t[r.index].cpu_millis);
-	if (r.percent < SHED_MIN_PERCENT)
-		r.percent = SHED_MIN_PERCENT;
+	if (r.percent < SHED_PERCENT_MIN)
+		r.percent = SHED_PERCENT_MIN;
 	return r;
 }
 
-/* Give back speed, one task and one step at a time, as noise may return. */
+/*
+ * Raises the speed of throttled tasks, one task and one step at a time,
+ * because the interference may return.
+ */
 static struct evict_result
-release(const struct evict_options *o, struct evict_service *s,
+release_task(const struct evict_options *o, struct evict_service *s,
     const struct evict_task *t, size_t n, int64_t now_ms)
 {
 	struct evict_result r;
 	size_t i;
 	int percent;
 
-	r = nothing(EVICT_ON_TARGET);
+	r = no_action(EVICT_ON_TARGET);
 	if (s->target_p99_ms > 0 &&
-	    (s->quiet_ms == 0 || s->measured_ms - s->quiet_ms < o->quiet_ms))
+	    (s->on_target_since_ms == 0 ||
+		s->measured_ms - s->on_target_since_ms < o->on_target_min_ms))
 		return r;
-	if (s->target_p99_ms <= 0 && now_ms - s->last_action_ms < o->quiet_ms)
+	if (s->target_p99_ms <= 0 &&
+	    now_ms - s->last_action_ms < o->on_target_min_ms)
 		return r;
 	for (i = 0; i < n; i++) {
 		if (t[i].percent >= 100 || t[i].percent <= 0)
 			continue;
 		if (r.index >= 0 && t[i].percent >= t[r.index].percent)
 			continue;
-		percent = next_release(o, t[i].percent);
+		percent = release_step(o, t[i].percent);
 		if (t[i].cpu_millis * percent / t[i].percent - t[i].cpu_millis >
-		    spare_of(s))
+		    spare_cpu_millis(s))
 			continue;
 		r.index = (int)i;
 		r.percent = percent;
@@ -325,8 +338,8 @@
 	r.action = EVICT_RELEASE;
 	r.reason = EVICT_TARGET_HELD;
 	s->last_action_ms = now_ms;
-	s->quiet_ms = 0;
-	s->seen = 0;
+	s->on_target_since_ms = 0;
+	s->measurements = 0;
 	return r;
 }
 
@@ -335,20 +348,20 @@
     struct learn_worker *learnt, const struct evict_task *t, size_t n,
     int64_t now_ms)
 {
-	if (spare_of(s) < 0)
-		return shed(s, t, n);
+	if (spare_cpu_millis(s) < 0)
+		return shed_cpu(s, t, n);
 	if (s->target_p99_ms <= 0)
-		return release(o, s, t, n, now_ms);
-	if (s->last_action_ms != 0 && s->seen == 0)
-		return nothing(EVICT_SETTLING);
+		return release_task(o, s, t, n, now_ms);
+	if (s->last_action_ms != 0 && s->measurements == 0)
+		return no_action(EVICT_SETTLING);
 	if (s->pressure < o->act_pressure) {
 		if (s->pressure > 0 && s->excess > 1)
-			return nothing(EVICT_TOO_FEW_MISSES);
-		return release(o, s, t, n, now_ms);
+			return no_action(EVICT_TOO_FEW_MISSES);
+		return release_task(o, s, t, n, now_ms);
 	}
 	if (n == 0)
-		return nothing(EVICT_NO_TASKS);
-	return protect(o, s, learnt, t, n, now_ms);
+		return no_action(EVICT_NO_TASKS);
+	return protect_service(o, s, learnt, t, n, now_ms);
 }
 
 const char *
