--- a/entry/carrier.c
+++ b/entry/carrier.c
@@ -125,18 +125,18 @@
 	answer.number = call->number;
 	answer.answer = result->answer;
 	answer.clock_ms = result->clock_ms;
-	if (!call->look || result->look == NULL) {
+	if (!call->look || result->poll == NULL) {
 		carry_write_answer(&answers->gathered, &answer, NULL);
 		return;
 	}
 	lists = &call->node->lists;
 	answer.worker = call->worker;
-	answer.look = result->look;
+	answer.look = result->poll;
 	base =
 	    call->base != 0 ? kept_find(lists, call->worker, call->base) : NULL;
 	carry_write_answer(&answers->gathered, &answer, base);
-	kept_set(lists, call->worker, call->number, result->look->running,
-	    result->look->nrunning, clock_now_ms());
+	kept_set(lists, call->worker, call->number, result->poll->running,
+	    result->poll->nrunning, clock_now_ms());
 }
 
 static void
@@ -182,7 +182,7 @@
 		look.acknowledged = order->acknowledged;
 		look.deadline_ms = order->deadline_ms;
 		look.wait_ms = order->wait_ms;
-		ops->look(ops->self, &look, on_called, call);
+		ops->poll(ops->self, &look, on_called, call);
 		break;
 	}
 }
--- a/entry/carry.c
+++ b/entry/carry.c
@@ -297,7 +297,7 @@
 	c = self;
 	direct = &c->node->opt.workers;
 	if ((member = pick_member(c, from->worker)) == NULL) {
-		direct->look(direct->self, from, done, ctx);
+		direct->poll(direct->self, from, done, ctx);
 		return;
 	}
 	order_of(&order, CARRY_LOOK, from->worker);
@@ -315,7 +315,7 @@
 	ops->start = start;
 	ops->stop = stop;
 	ops->pace = pace;
-	ops->look = look;
+	ops->poll = look;
 }
 
 void
@@ -433,7 +433,7 @@
 	memset(&result, 0, sizeof(result));
 	result.answer = answer->answer;
 	result.clock_ms = answer->clock_ms;
-	result.look = answer->look;
+	result.poll = answer->look;
 	finish(c, order, &result);
 	if (answer->look != NULL)
 		keep_list(c, answer);
--- a/entry/config.c
+++ b/entry/config.c
@@ -24,8 +24,8 @@
 
 	if (item->value == NULL)
 		return;
-	config = node->opt.world.config(
-	    node->opt.world.self, item->key, item->value, item->len);
+	config = node->opt.platform.config(
+	    node->opt.platform.self, item->key, item->value, item->len);
 	if (config == NULL)
 		return;
 	node->config = config;
@@ -79,7 +79,7 @@
 	const struct world_ops *world;
 	int64_t every_ms;
 
-	world = &node->opt.world;
+	world = &node->opt.platform;
 	/* The leader reads for all; others hear of a newer one from it. */
 	every_ms = READ_EVERY_MS;
 	if (node->lead == NULL && node->config_revision != 0 &&
--- a/entry/lead_calls.c
+++ b/entry/lead_calls.c
@@ -218,7 +218,7 @@
 	if ((worker = call_worker(call)) != NULL) {
 		misses = worker->misses;
 		sched_poll_answered(call->lead->sched, worker, result->answer,
-		    result->look, now_ms);
+		    result->poll, now_ms);
 		log_silence(worker, result->answer, misses, now_ms);
 	}
 	call_end(call);
@@ -249,7 +249,7 @@
 	order.acknowledged = worker->acknowledged;
 	order.deadline_ms = deadline_ms;
 	order.wait_ms = wait_ms;
-	l->workers.look(
+	l->workers.poll(
 	    l->workers.self, &order, on_look, call_new(l, worker, NULL, 0));
 }
 
--- a/entry/lead_fleet.c
+++ b/entry/lead_fleet.c
@@ -37,7 +37,7 @@
 	const struct world_ops *world;
 	const char *id;
 
-	world = &l->node->opt.world;
+	world = &l->node->opt.platform;
 	if ((id = world->worker_id(world->self, key)) != NULL)
 		worker_left(l, id, now_ms);
 }
@@ -51,8 +51,8 @@
 	int64_t leaves_ms;
 
 	memset(&info, 0, sizeof(info));
-	if (!l->node->opt.world.worker(
-		l->node->opt.world.self, key, value, len, &info)) {
+	if (!l->node->opt.platform.worker(
+		l->node->opt.platform.self, key, value, len, &info)) {
 		refuse_worker(l, key, now_ms);
 		return;
 	}
@@ -108,7 +108,7 @@
 	const struct kv_ops *kv;
 
 	kv = &r->lead->node->opt.kv;
-	kv->range(kv->self, r->lead->node->opt.world.workers_prefix,
+	kv->range(kv->self, r->lead->node->opt.platform.workers_prefix,
 	    r->after[0] != '\0' ? r->after : NULL, on_reread, r);
 }
 
@@ -191,7 +191,7 @@
 		return;
 	}
 	now_ms = clock_now_ms();
-	world = &l->node->opt.world;
+	world = &l->node->opt.platform;
 	l->workers_out = false;
 	if (result->error != KV_OK) {
 		l->workers_ms = now_ms;
@@ -317,6 +317,6 @@
 	}
 	l->workers_out = true;
 	lead_hold(l);
-	kv->watch(kv->self, l->node->opt.world.workers_prefix,
+	kv->watch(kv->self, l->node->opt.platform.workers_prefix,
 	    l->workers_revision, WORKERS_WAIT_MS, on_workers, l);
 }
--- a/entry/lead_load.c
+++ b/entry/lead_load.c
@@ -105,7 +105,7 @@
 	start_part(l, KEY_WORKERS, lead_record_load, NULL);
 	start_part(l, KEY_LEARNT, lead_learnt_load, NULL);
 	start_part(
-	    l, l->node->opt.world.workers_prefix, load_worker, workers_read);
+	    l, l->node->opt.platform.workers_prefix, load_worker, workers_read);
 }
 
 static void
--- a/entry/seam.h
+++ b/entry/seam.h
@@ -106,7 +106,7 @@
 struct worker_result {
 	enum worker_answer answer;
 	int64_t clock_ms; /* the worker's; 0: not told */
-	const struct poll_result *look; /* of a look that succeeded */
+	const struct poll_result *poll; /* of a look that succeeded */
 };
 typedef void worker_done(const struct worker_result *, void *ctx);
 
@@ -118,7 +118,7 @@
 	    void *self, const struct worker_order *, worker_done *, void *);
 	void (*pace)(void *self, const struct worker_order *, int percent,
 	    worker_done *, void *);
-	void (*look)(
+	void (*poll)(
 	    void *self, const struct worker_look *, worker_done *, void *);
 };
 
--- a/tests/handover_fixture.h
+++ b/tests/handover_fixture.h
@@ -107,7 +107,7 @@
 		options.kv = { this, Get, Range, Watch, Txn, AnsweredMs,
 			FailedMs };
 		options.workers = { this, Start, Stop, Pace, Look };
-		options.world = { this, "c/", "w/", Config, WorkerEntry,
+		options.platform = { this, "c/", "w/", Config, WorkerEntry,
 			WorkerId };
 		// Below the ports that the system gives to clients; other
 		// programs on the machine may have one.
@@ -608,7 +608,7 @@
 			list.finished = finished.data();
 			list.nfinished = finished.size();
 			if (look && result.answer == ANSWER_OK)
-				result.look = &list;
+				result.poll = &list;
 			done(&result, done_ctx);
 		});
 	}
