--- a/entry/accept.c
+++ b/entry/accept.c
@@ -112,7 +112,7 @@
 static void
 accepted(struct accept *a, struct new_job *job, int64_t revision)
 {
-	struct ask *notice;
+	struct leader_request *notice;
 	int64_t now_ms;
 
 	now_ms = clock_now_ms();
@@ -149,7 +149,7 @@
 hand_to_leader(struct new_job *job)
 {
 	struct node *node;
-	struct ask *ask;
+	struct leader_request *ask;
 
 	node = job->accept->node;
 	if (job->unsure || job->relayed || node->lead != NULL ||
--- a/entry/asks.c
+++ b/entry/asks.c
@@ -22,12 +22,12 @@
 
 static const char *const kind_names[] = { "state", "cancel", "job", "store" };
 
-static void send_ask(struct ask *, int64_t);
+static void send_ask(struct leader_request *, int64_t);
 
 static void
-ask_free(struct ask *ask)
+ask_free(struct leader_request *ask)
 {
-	TAILQ_REMOVE(&ask->node->asks, ask, link);
+	TAILQ_REMOVE(&ask->node->leader_requests, ask, link);
 	free(ask->body);
 	free(ask);
 }
@@ -38,7 +38,7 @@
  * that were, the other may be storing the job yet.
  */
 static void
-ask_finish(struct ask *ask, const struct node_reply *reply)
+ask_finish(struct leader_request *ask, const struct node_reply *reply)
 {
 	struct node_reply unsure;
 	node_replied *replied;
@@ -58,11 +58,11 @@
 		ask_free(ask);
 }
 
-struct ask *
+struct leader_request *
 ask_new(struct node *node, enum ask_kind kind, const char *job,
     int64_t deadline_ms, node_replied *replied, void *ctx)
 {
-	struct ask *ask;
+	struct leader_request *ask;
 
 	if ((ask = calloc(1, sizeof(*ask))) == NULL)
 		return NULL;
@@ -74,16 +74,16 @@
 	ask->deadline_ms = deadline_ms;
 	ask->replied = replied;
 	ask->ctx = ctx;
-	TAILQ_INSERT_TAIL(&node->asks, ask, link);
+	TAILQ_INSERT_TAIL(&node->leader_requests, ask, link);
 	return ask;
 }
 
-static struct ask *
+static struct leader_request *
 ask_find(struct node *node, uint64_t number)
 {
-	struct ask *ask;
+	struct leader_request *ask;
 
-	TAILQ_FOREACH (ask, &node->asks, link) {
+	TAILQ_FOREACH (ask, &node->leader_requests, link) {
 		if (ask->number == number && !ask->dead)
 			return ask;
 	}
@@ -94,7 +94,7 @@
 on_own_answer(const struct node_reply *reply, uint64_t number, const char *from,
     void *ctx)
 {
-	struct ask *ask;
+	struct leader_request *ask;
 
 	(void)from;
 	if ((ask = ask_find(ctx, number)) != NULL)
@@ -102,7 +102,7 @@
 }
 
 static void
-send_ask(struct ask *ask, int64_t now_ms)
+send_ask(struct leader_request *ask, int64_t now_ms)
 {
 	struct stored_job stored;
 	struct node *node;
@@ -189,7 +189,7 @@
 asks_answered(struct node *node, const json_t *message)
 {
 	struct node_reply reply;
-	struct ask *ask;
+	struct leader_request *ask;
 
 	ask = ask_find(node,
 	    (uint64_t)json_integer_value(json_object_get(message, "number")));
@@ -209,17 +209,17 @@
 void
 asks_leader_changed(struct node *node)
 {
-	struct ask *ask;
+	struct leader_request *ask;
 
-	TAILQ_FOREACH (ask, &node->asks, link)
+	TAILQ_FOREACH (ask, &node->leader_requests, link)
 		ask->resend_ms = 0;
 }
 
 /* The store's word on a job, while no leader answers. */
 
 static void
-finish_from_store(
-    struct ask *ask, enum node_outcome outcome, enum sched_job_state state)
+finish_from_store(struct leader_request *ask, enum node_outcome outcome,
+    enum sched_job_state state)
 {
 	struct node_reply reply;
 
@@ -231,7 +231,7 @@
 }
 
 static bool
-read_over(struct ask *ask, const struct kv_result *result)
+read_over(struct leader_request *ask, const struct kv_result *result)
 {
 	ask->reading = false;
 	if (ask->dead) {
@@ -251,7 +251,7 @@
  * way round it would be taken for unknown.
  */
 static void
-read_key(struct ask *ask, const char *prefix, kv_done *done)
+read_key(struct leader_request *ask, const char *prefix, kv_done *done)
 {
 	char key[KEY_MAX];
 
@@ -263,7 +263,7 @@
 static void
 on_progress(const struct kv_result *result, void *ctx)
 {
-	struct ask *ask;
+	struct leader_request *ask;
 
 	ask = ctx;
 	if (read_over(ask, result))
@@ -276,7 +276,7 @@
 on_ended(const struct kv_result *result, void *ctx)
 {
 	enum sched_job_state state;
-	struct ask *ask;
+	struct leader_request *ask;
 
 	ask = ctx;
 	if (read_over(ask, result))
@@ -296,7 +296,7 @@
 static void
 on_job(const struct kv_result *result, void *ctx)
 {
-	struct ask *ask;
+	struct leader_request *ask;
 
 	ask = ctx;
 	if (read_over(ask, result))
@@ -308,13 +308,13 @@
 }
 
 static void
-read_store(struct ask *ask)
+read_store(struct leader_request *ask)
 {
 	read_key(ask, KEY_JOB, on_job);
 }
 
 static void
-expire(struct ask *ask)
+expire(struct leader_request *ask)
 {
 	struct node_reply reply;
 
@@ -333,9 +333,10 @@
 void
 asks_tick(struct node *node, int64_t now_ms)
 {
-	struct ask *ask, *next;
+	struct leader_request *ask, *next;
 
-	for (ask = TAILQ_FIRST(&node->asks); ask != NULL; ask = next) {
+	for (ask = TAILQ_FIRST(&node->leader_requests); ask != NULL;
+	     ask = next) {
 		next = TAILQ_NEXT(ask, link);
 		if (ask->dead)
 			continue;
@@ -346,7 +347,7 @@
 		if (now_ms >= ask->resend_ms)
 			send_ask(ask, now_ms);
 	}
-	TAILQ_FOREACH (ask, &node->asks, link) {
+	TAILQ_FOREACH (ask, &node->leader_requests, link) {
 		if (!ask->dead && ask->kind == ASK_STATE && !ask->reading &&
 		    now_ms - ask->created_ms >= STORE_AFTER_MS &&
 		    now_ms >= ask->read_ms)
@@ -357,9 +358,10 @@
 void
 asks_close(struct node *node)
 {
-	struct ask *ask, *next;
+	struct leader_request *ask, *next;
 
-	for (ask = TAILQ_FIRST(&node->asks); ask != NULL; ask = next) {
+	for (ask = TAILQ_FIRST(&node->leader_requests); ask != NULL;
+	     ask = next) {
 		next = TAILQ_NEXT(ask, link);
 		if (!ask->dead)
 			expire(ask);
--- a/entry/members.c
+++ b/entry/members.c
@@ -270,7 +270,7 @@
 		node->lead = NULL;
 	}
 	node->hello_ms = 0;
-	node->beat_ms = 0;
+	node->heartbeat_ms = 0;
 	asks_leader_changed(node);
 }
 
@@ -445,7 +445,7 @@
 		resigned || elect_grants_vote(&node->elect, term, now_ms),
 		"resigned", (int)resigned));
 	if (node->lead != NULL)
-		node->beat_ms = 0;
+		node->heartbeat_ms = 0;
 }
 
 /* The leader gave up its term: no need to wait for silence. */
@@ -682,9 +682,9 @@
 members_tick(struct node *node, int64_t now_ms)
 {
 	if (node->lead != NULL) {
-		if (now_ms - node->beat_ms < BEAT_MS)
+		if (now_ms - node->heartbeat_ms < BEAT_MS)
 			return;
-		node->beat_ms = now_ms;
+		node->heartbeat_ms = now_ms;
 		send_beats(node, now_ms);
 		return;
 	}
--- a/entry/node.c
+++ b/entry/node.c
@@ -39,7 +39,7 @@
 	snprintf(node->address, sizeof(node->address), "%s:%d", options->ip,
 	    options->port);
 	node->incarnation = (uint64_t)clock_wall_ms();
-	TAILQ_INIT(&node->asks);
+	TAILQ_INIT(&node->leader_requests);
 	TAILQ_INIT(&node->answers);
 	kept_init(&node->lists);
 	pacer_init(&node->link, LINK_SHARE * options->link_bytes_per_s,
@@ -100,9 +100,9 @@
 static bool
 is_idle(const struct node *node)
 {
-	const struct ask *ask;
+	const struct leader_request *ask;
 
-	TAILQ_FOREACH (ask, &node->asks, link) {
+	TAILQ_FOREACH (ask, &node->leader_requests, link) {
 		if (!ask->dead)
 			return false;
 	}
--- a/entry/node_int.h
+++ b/entry/node_int.h
@@ -69,8 +69,8 @@
 	int64_t revision;
 };
 
-struct ask {
-	TAILQ_ENTRY(ask) link;
+struct leader_request {
+	TAILQ_ENTRY(leader_request) link;
 	struct node *node;
 	uint64_t number;
 	enum ask_kind kind;
@@ -88,7 +88,7 @@
 	node_replied *replied; /* NULL: nobody waits */
 	void *ctx;
 };
-TAILQ_HEAD(asks, ask);
+TAILQ_HEAD(leader_requests, leader_request);
 
 struct lead;
 struct accept;
@@ -114,10 +114,10 @@
 	uint64_t list_seen; /* as member: the version of the last list, */
 	uint64_t list_term; /* of that term's leader */
 	uint64_t beats;
-	struct asks asks;
+	struct leader_requests leader_requests;
 	uint64_t next_ask;
 	int64_t hello_ms;
-	int64_t beat_ms;
+	int64_t heartbeat_ms;
 	struct lead *lead; /* NULL: not leading */
 	struct accept *accept;
 	struct answers_list answers; /* of workers, for leaders */
@@ -163,7 +163,7 @@
 void asks_answered(struct node *, const json_t *message);
 void asks_request(struct node *, const json_t *message);
 void asks_leader_changed(struct node *);
-struct ask *ask_new(struct node *, enum ask_kind, const char *job,
+struct leader_request *ask_new(struct node *, enum ask_kind, const char *job,
     int64_t deadline_ms, node_replied *, void *ctx);
 void asks_close(struct node *);
 
