--- a/entry/carrier.c
+++ b/entry/carrier.c
@@ -94,7 +94,7 @@
 		next = TAILQ_NEXT(answers, link);
 		if (!send_answers(node, answers) &&
 		    now_ms - answers->since_ms < KEEP_MS) {
-			node_reply_in(node, KEPT_RETRY_MS);
+			node_schedule_reply(node, KEPT_RETRY_MS);
 			continue;
 		}
 		answers_free(node, answers);
@@ -150,7 +150,7 @@
 	    call->node->closing ? NULL : answers_for(call->node, call->leader);
 	if (answers != NULL) {
 		write_answer(answers, call, result);
-		node_reply_in(call->node, REPLY_MS);
+		node_schedule_reply(call->node, REPLY_MS);
 	}
 	free(call);
 }
@@ -160,7 +160,7 @@
     const struct worker_order *to, struct carried_call *call)
 {
 	struct worker_start start;
-	struct worker_look look;
+	struct worker_poll look;
 
 	switch (order->kind) {
 	case CARRY_START:
--- a/entry/carry.c
+++ b/entry/carry.c
@@ -287,7 +287,7 @@
 }
 
 static void
-look(void *self, const struct worker_look *from, worker_done *done, void *ctx)
+look(void *self, const struct worker_poll *from, worker_done *done, void *ctx)
 {
 	const struct worker_ops *direct;
 	struct carry_order order;
--- a/entry/config.c
+++ b/entry/config.c
@@ -76,7 +76,7 @@
 void
 config_tick(struct node *node, int64_t now_ms)
 {
-	const struct world_ops *world;
+	const struct platform_ops *world;
 	int64_t every_ms;
 
 	world = &node->opt.platform;
--- a/entry/lead.c
+++ b/entry/lead.c
@@ -43,7 +43,7 @@
 static void on_timer(uv_timer_t *);
 
 void
-lead_hold(struct lead *l)
+lead_ref(struct lead *l)
 {
 	l->calls++;
 }
@@ -58,7 +58,7 @@
 }
 
 void
-lead_let_go(struct lead *l)
+lead_unref(struct lead *l)
 {
 	l->calls--;
 	if (l->closed)
@@ -242,7 +242,7 @@
 
 /* Something happened: let the scheduler act after this turn of the loop. */
 void
-lead_kick(struct lead *l)
+lead_wakeup(struct lead *l)
 {
 	if (!l->closed && l->ready)
 		uv_timer_start(&l->timer, on_timer, STEP_MS, 0);
@@ -252,7 +252,7 @@
 static bool
 just_woke(const struct lead *l, int64_t now_ms)
 {
-	return now_ms - l->woke_ms < FOLLOWER_MS;
+	return now_ms - l->resumed_ms < FOLLOWER_MS;
 }
 
 static bool
@@ -281,7 +281,7 @@
 check_frozen(struct lead *l, int64_t now_ms)
 {
 	if (now_ms - l->tick_ms >= PAUSE_MS)
-		l->woke_ms = now_ms;
+		l->resumed_ms = now_ms;
 	l->tick_ms = now_ms;
 	l->sched->store_away = !lead_has_store(l, now_ms);
 	l->sched->frozen = l->sched->store_away && !all_follow(l, now_ms);
@@ -394,7 +394,7 @@
 	if (l == NULL || l->closed || !l->ready)
 		return;
 	carry_answered(l->carry, message, len);
-	lead_kick(l);
+	lead_wakeup(l);
 }
 
 void
@@ -411,7 +411,7 @@
 }
 
 bool
-lead_is_alone(const struct lead *l, int64_t now_ms)
+lead_is_exclusive(const struct lead *l, int64_t now_ms)
 {
 	const struct sched_options *opt;
 
@@ -439,7 +439,7 @@
 		if (queue != NULL)
 			queue->terms = from->terms;
 	}
-	lead_kick(l);
+	lead_wakeup(l);
 }
 
 static void
@@ -456,7 +456,7 @@
 }
 
 json_t *
-lead_full(struct lead *l)
+lead_full_queues(struct lead *l)
 {
 	struct sched_headroom room;
 	struct sched_queue *queue;
@@ -518,7 +518,7 @@
 }
 
 struct sched_job *
-lead_add_item(struct lead *l, const struct kv_item *item, bool inherited)
+lead_add_stored_job(struct lead *l, const struct kv_item *item, bool inherited)
 {
 	struct stored_job stored = { item->value, item->len, item->revision };
 
--- a/entry/lead_calls.c
+++ b/entry/lead_calls.c
@@ -33,7 +33,7 @@
 	if (task != NULL)
 		call->task = *task;
 	call->attempt = attempt;
-	lead_hold(l);
+	lead_ref(l);
 	return call;
 }
 
@@ -54,8 +54,8 @@
 	l = call->lead;
 	free(call);
 	if (!l->closed)
-		lead_kick(l);
-	lead_let_go(l);
+		lead_wakeup(l);
+	lead_unref(l);
 }
 
 static void
@@ -240,7 +240,7 @@
 look(struct sched *s, struct sched_worker *worker, int64_t deadline_ms,
     int64_t wait_ms, void *ctx)
 {
-	struct worker_look order;
+	struct worker_poll order;
 	struct lead *l;
 
 	l = ctx;
--- a/entry/lead_fleet.c
+++ b/entry/lead_fleet.c
@@ -34,7 +34,7 @@
 static void
 refuse_worker(struct lead *l, const char *key, int64_t now_ms)
 {
-	const struct world_ops *world;
+	const struct platform_ops *world;
 	const char *id;
 
 	world = &l->node->opt.platform;
@@ -119,7 +119,7 @@
 
 	l = r->lead;
 	if (!l->closed) {
-		l->workers_out = false;
+		l->workers_in_flight = false;
 		l->workers_ms = now_ms;
 		if (complete) {
 			fleet_end(l, now_ms);
@@ -127,10 +127,10 @@
 			l->reread_ms = now_ms;
 			if (r->revision > l->workers_revision)
 				l->workers_revision = r->revision;
-			lead_kick(l);
+			lead_wakeup(l);
 		}
 	}
-	lead_let_go(l);
+	lead_unref(l);
 	free(r);
 }
 
@@ -169,16 +169,16 @@
 	if ((r = calloc(1, sizeof(*r))) == NULL)
 		return;
 	r->lead = l;
-	l->workers_out = true;
+	l->workers_in_flight = true;
 	fleet_begin(l);
-	lead_hold(l);
+	lead_ref(l);
 	reread_page(r);
 }
 
 static void
 on_workers(const struct kv_result *result, void *ctx)
 {
-	const struct world_ops *world;
+	const struct platform_ops *world;
 	const struct kv_item *item;
 	const char *id;
 	struct lead *l;
@@ -187,16 +187,16 @@
 
 	l = ctx;
 	if (l->closed) {
-		lead_let_go(l);
+		lead_unref(l);
 		return;
 	}
 	now_ms = clock_now_ms();
 	world = &l->node->opt.platform;
-	l->workers_out = false;
+	l->workers_in_flight = false;
 	if (result->error != KV_OK) {
 		l->workers_ms = now_ms;
 		l->workers_reread = true;
-		lead_let_go(l);
+		lead_unref(l);
 		return;
 	}
 	for (i = 0; i < result->nitems; i++) {
@@ -210,8 +210,8 @@
 	}
 	if (result->revision > l->workers_revision)
 		l->workers_revision = result->revision;
-	lead_kick(l);
-	lead_let_go(l);
+	lead_wakeup(l);
+	lead_unref(l);
 }
 
 static void
@@ -223,10 +223,10 @@
 
 	l = ctx;
 	if (l->closed) {
-		lead_let_go(l);
+		lead_unref(l);
 		return;
 	}
-	l->jobs_out = false;
+	l->jobs_in_flight = false;
 	if (result->error == KV_COMPACTED) {
 		/* Jobs may have been missed: read them all. */
 		l->jobs_compacted = true;
@@ -236,12 +236,12 @@
 		if (item->value != NULL &&
 		    sched_job_find(l->sched, item->key + strlen(KEY_JOB)) ==
 			NULL)
-			lead_add_item(l, item, false);
+			lead_add_stored_job(l, item, false);
 	}
 	if (result->error == KV_OK && result->revision > l->jobs_revision)
 		l->jobs_revision = result->revision;
-	lead_kick(l);
-	lead_let_go(l);
+	lead_wakeup(l);
+	lead_unref(l);
 }
 
 /* Read again all jobs that haven't ended. */
@@ -253,12 +253,12 @@
 
 	l = ctx;
 	if (l->closed) {
-		lead_let_go(l);
+		lead_unref(l);
 		return;
 	}
-	l->jobs_out = false;
+	l->jobs_in_flight = false;
 	if (result->error != KV_OK) {
-		lead_let_go(l);
+		lead_unref(l);
 		return;
 	}
 	if (l->jobs_after[0] == '\0')
@@ -266,7 +266,7 @@
 	for (i = 0; i < result->nitems; i++) {
 		if (sched_job_find(l->sched,
 			result->items[i].key + strlen(KEY_JOB)) == NULL)
-			lead_add_item(l, &result->items[i], false);
+			lead_add_stored_job(l, &result->items[i], false);
 	}
 	if (result->more && result->nitems > 0) {
 		strlcpy(l->jobs_after, result->items[result->nitems - 1].key,
@@ -277,8 +277,8 @@
 		l->jobs_compacted = false;
 		l->jobs_revision = l->jobs_reread_revision;
 	}
-	lead_kick(l);
-	lead_let_go(l);
+	lead_wakeup(l);
+	lead_unref(l);
 }
 
 static void
@@ -287,9 +287,9 @@
 	const struct kv_ops *kv;
 
 	kv = &l->node->opt.kv;
-	l->jobs_out = true;
+	l->jobs_in_flight = true;
 	l->jobs_ms = now_ms;
-	lead_hold(l);
+	lead_ref(l);
 	if (l->jobs_compacted)
 		kv->range(kv->self, KEY_JOB,
 		    l->jobs_after[0] != '\0' ? l->jobs_after : NULL,
@@ -306,17 +306,17 @@
 	if (!l->ready)
 		return;
 	kv = &l->node->opt.kv;
-	if (!l->jobs_out && now_ms - l->jobs_ms >= JOBS_EVERY_MS)
+	if (!l->jobs_in_flight && now_ms - l->jobs_ms >= JOBS_EVERY_MS)
 		ask_jobs(l, now_ms);
-	if (l->workers_out)
+	if (l->workers_in_flight)
 		return;
 	if (l->workers_reread || now_ms - l->reread_ms >= REREAD_MS) {
 		if (now_ms - l->workers_ms >= RETRY_MS)
 			reread(l);
 		return;
 	}
-	l->workers_out = true;
-	lead_hold(l);
+	l->workers_in_flight = true;
+	lead_ref(l);
 	kv->watch(kv->self, l->node->opt.platform.workers_prefix,
 	    l->workers_revision, WORKERS_WAIT_MS, on_workers, l);
 }
--- a/entry/lead_int.h
+++ b/entry/lead_int.h
@@ -80,31 +80,31 @@
 	int64_t save_since_ms;
 	int64_t save_retry_ms;
 	int64_t pulse_ms; /* last written, or tried */
-	bool pulse_out;
+	bool pulse_in_flight;
 	char *learnt_text; /* as last written */
 	int64_t learnt_ms; /* as of */
 	int64_t confirmed_ms; /* the store last said that we lead */
 	/* A former leader started nothing stored after it; 0: not known. */
 	int64_t settled_revision;
 	int64_t tick_ms; /* we last ran */
-	int64_t woke_ms; /* after a pause; 0: never */
+	int64_t resumed_ms; /* after a pause; 0: never */
 	struct waiters waiters;
 	/* the record of workers */
 	int64_t record_revision;
-	bool record_out;
+	bool record_in_flight;
 	bool record_dirty;
 	int64_t record_refresh_ms; /* write it again after so long; 0: not */
 	int64_t record_ms; /* last sent */
 	int64_t record_retry_ms;
 	/* watches */
 	int64_t jobs_revision;
-	bool jobs_out;
+	bool jobs_in_flight;
 	int64_t jobs_ms;
 	bool jobs_compacted; /* read all anew, */
 	char jobs_after[KEY_MAX]; /* from here, */
 	int64_t jobs_reread_revision; /* and watch from there */
 	int64_t workers_revision;
-	bool workers_out;
+	bool workers_in_flight;
 	int64_t workers_ms;
 	bool workers_reread;
 	int64_t reread_ms; /* the whole list was last read */
@@ -112,21 +112,21 @@
 	/* ended jobs whose keys may go */
 	char forget[FORGET_MAX][GRAPH_ID_MAX];
 	size_t nforget;
-	bool forget_out;
+	bool forget_in_flight;
 	struct sweep sweep; /* for records that former leaders left */
 };
 
 /* lead.c */
 /* Each call that points to the lead holds it; the last one frees it. */
-void lead_hold(struct lead *);
-void lead_let_go(struct lead *);
+void lead_ref(struct lead *);
+void lead_unref(struct lead *);
 /* The job is new to us; inherited: stored before our term. */
 struct sched_job *lead_add_job(
     struct lead *, const char *id, const struct stored_job *, bool inherited);
 /* An item of the store under KEY_JOB. */
-struct sched_job *lead_add_item(
+struct sched_job *lead_add_stored_job(
     struct lead *, const struct kv_item *, bool inherited);
-void lead_kick(struct lead *);
+void lead_wakeup(struct lead *);
 
 /*
  * What was learnt of fillers, as text that stays the lead's; NULL: the store
--- a/entry/lead_load.c
+++ b/entry/lead_load.c
@@ -34,7 +34,7 @@
 static void
 load_job(struct lead *l, const struct kv_item *item)
 {
-	lead_add_item(l, item, true);
+	lead_add_stored_job(l, item, true);
 }
 
 static void
@@ -91,7 +91,7 @@
 	part->item = item;
 	part->end = end;
 	l->loading++;
-	lead_hold(l);
+	lead_ref(l);
 	uv_timer_init(l->node->opt.loop, &part->timer);
 	part->timer.data = part;
 	read_page(part);
@@ -209,7 +209,7 @@
 	log_info("lead_ready", "term=%llu load_ms=%lld",
 	    (unsigned long long)l->sched->opt.term,
 	    (long long)(now_ms - l->opened_ms));
-	lead_kick(l);
+	lead_wakeup(l);
 }
 
 /*
@@ -232,7 +232,7 @@
 	uv_close((uv_handle_t *)&part->timer, on_part_closed);
 	if (--l->loading == 0 && !l->closed)
 		load_check(l);
-	lead_let_go(l);
+	lead_unref(l);
 }
 
 static void
--- a/entry/lead_record.c
+++ b/entry/lead_record.c
@@ -291,7 +291,7 @@
 	write = ctx;
 	l = write->lead;
 	if (save_answered(l, result, write->sent_ms)) {
-		l->record_out = false;
+		l->record_in_flight = false;
 		if (result->error == KV_OK) {
 			l->record_revision = result->revision;
 			mark_stored(l, write);
@@ -301,10 +301,10 @@
 		}
 		if (result->error == KV_CONFLICT)
 			learn_revision(l, result);
-		lead_kick(l);
+		lead_wakeup(l);
 	}
 	write_free(write);
-	lead_let_go(l);
+	lead_unref(l);
 }
 
 static void
@@ -327,10 +327,10 @@
 	txn.ncompares = 2;
 	txn.puts = &put;
 	txn.nputs = 1;
-	l->record_out = true;
+	l->record_in_flight = true;
 	l->record_dirty = false;
 	l->record_ms = write->sent_ms;
-	lead_hold(l);
+	lead_ref(l);
 	l->node->opt.kv.txn(l->node->opt.kv.self, &txn, on_recorded, write);
 }
 
@@ -348,7 +348,7 @@
 	if (l->record_refresh_ms != 0 &&
 	    now_ms - l->record_ms >= l->record_refresh_ms)
 		l->record_dirty = true;
-	if (!l->record_dirty || l->record_out || now_ms < l->record_retry_ms ||
+	if (!l->record_dirty || l->record_in_flight || now_ms < l->record_retry_ms ||
 	    l->sched->store_away)
 		return;
 	if ((write = write_new(l, now_ms)) == NULL)
--- a/entry/lead_request.c
+++ b/entry/lead_request.c
@@ -89,7 +89,7 @@
 		log_info("job_cancelled", "job=%s", job->id);
 	sched_job_cancel(l->sched, job, clock_now_ms());
 	answer_saved(lookup, job);
-	lead_kick(l);
+	lead_wakeup(l);
 }
 
 static void
@@ -111,7 +111,7 @@
 {
 	if (lookup->worker_asks && !lookup->lead->closed)
 		forget_unknown(lookup->lead, lookup->job);
-	lead_let_go(lookup->lead);
+	lead_unref(lookup->lead);
 	free(lookup);
 }
 
@@ -170,10 +170,10 @@
 	}
 	job = known_job(l, lookup->job);
 	if (job == NULL && result->nitems > 0)
-		job = lead_add_item(l, &result->items[0], false);
+		job = lead_add_stored_job(l, &result->items[0], false);
 	if (job != NULL) {
 		answer_known(lookup, job);
-		lead_kick(l);
+		lead_wakeup(l);
 		lookup_end(lookup);
 		return;
 	}
@@ -189,7 +189,7 @@
 	struct lead *l;
 
 	l = lookup->lead;
-	lead_hold(l);
+	lead_ref(l);
 	snprintf(key, sizeof(key), KEY_JOB "%s", lookup->job);
 	l->node->opt.kv.get(l->node->opt.kv.self, key, on_job_read, lookup);
 }
@@ -211,7 +211,7 @@
 	relay = ctx;
 	if (!relay->lead->closed)
 		relay->answered(reply, relay->number, relay->from, relay->ctx);
-	lead_let_go(relay->lead);
+	lead_unref(relay->lead);
 	free(relay);
 }
 
@@ -229,7 +229,7 @@
 	strlcpy(relay->from, from, sizeof(relay->from));
 	relay->answered = answered;
 	relay->ctx = ctx;
-	lead_hold(l);
+	lead_ref(l);
 	accept_text(l->node->accept, id, stored->text, stored->len,
 	    clock_now_ms() + RELAY_MS, on_relayed, relay);
 }
@@ -312,7 +312,7 @@
 	job = known_job(l, id);
 	if (job == NULL && kind == ASK_JOB && is_new(l, stored)) {
 		job = lead_add_job(l, id, stored, false);
-		lead_kick(l);
+		lead_wakeup(l);
 	}
 	if (job != NULL) {
 		answer_known(&local, job);
--- a/entry/lead_save.c
+++ b/entry/lead_save.c
@@ -228,7 +228,7 @@
 		bytes += PUT_BYTES + BASE64_GROWTH * (double)puts[i].len;
 	pacer_consume(&l->node->link, bytes, write->sent_ms);
 	l->saves++;
-	lead_hold(l);
+	lead_ref(l);
 	l->node->opt.kv.txn(l->node->opt.kv.self, &txn, on_saved, write);
 }
 
@@ -329,7 +329,7 @@
 	l = write->lead;
 	now_ms = clock_now_ms();
 	if (write->pulse)
-		l->pulse_out = false;
+		l->pulse_in_flight = false;
 	if (save_answered(l, result, write->sent_ms)) {
 		l->saves--;
 		for (i = 0; i < write->n; i++)
@@ -343,12 +343,12 @@
 			l->save_wanted = true;
 			l->save_since_ms = 0;
 		}
-		lead_kick(l);
+		lead_wakeup(l);
 	}
 	for (i = 0; i < write->n; i++)
 		free(write->rows[i].text);
 	free(write);
-	lead_let_go(l);
+	lead_unref(l);
 }
 
 static int64_t
@@ -366,7 +366,7 @@
 	struct save_write *write;
 	bool pulse;
 
-	pulse = !l->pulse_out && now_ms - l->pulse_ms >= PULSE_MS;
+	pulse = !l->pulse_in_flight && now_ms - l->pulse_ms >= PULSE_MS;
 	if (now_ms < l->save_retry_ms)
 		return;
 	if (!pulse &&
@@ -390,7 +390,7 @@
 	}
 	if (pulse) {
 		l->pulse_ms = now_ms;
-		l->pulse_out = true;
+		l->pulse_in_flight = true;
 	}
 	send_save(l, write);
 }
@@ -431,7 +431,7 @@
 	write = ctx;
 	l = write->lead;
 	if (save_answered(l, result, write->sent_ms)) {
-		l->forget_out = false;
+		l->forget_in_flight = false;
 		if (result->error == KV_OK) {
 			l->nforget -= write->n;
 			memmove(l->forget[0], l->forget[write->n],
@@ -439,7 +439,7 @@
 		}
 	}
 	free(write);
-	lead_let_go(l);
+	lead_unref(l);
 }
 
 /* Enough at once to be worth a write. */
@@ -454,7 +454,7 @@
 	struct kv_compare compare;
 	struct kv_txn txn;
 
-	if (l->forget_out || l->nforget < FORGET_BATCH ||
+	if (l->forget_in_flight || l->nforget < FORGET_BATCH ||
 	    now_ms < l->save_retry_ms)
 		return;
 	if ((write = calloc(1, sizeof(*write))) == NULL)
@@ -472,8 +472,8 @@
 	txn.ncompares = 1;
 	txn.removes = removes;
 	txn.nremoves = write->n;
-	l->forget_out = true;
-	lead_hold(l);
+	l->forget_in_flight = true;
+	lead_ref(l);
 	l->node->opt.kv.txn(l->node->opt.kv.self, &txn, on_forgotten, write);
 }
 
--- a/entry/lead_sweep.c
+++ b/entry/lead_sweep.c
@@ -132,7 +132,7 @@
 		}
 		page_end(l, result->error == KV_OK);
 	}
-	lead_let_go(l);
+	lead_unref(l);
 }
 
 static void
@@ -148,7 +148,7 @@
 	txn.removes = removes;
 	txn.nremoves = l->sweep.n;
 	l->sweep.sent_ms = clock_now_ms();
-	lead_hold(l);
+	lead_ref(l);
 	l->node->opt.kv.txn(l->node->opt.kv.self, &txn, on_removed, l);
 }
 
@@ -192,7 +192,7 @@
 	else
 		page_end(l, true);
 out:
-	lead_let_go(l);
+	lead_unref(l);
 }
 
 static void
@@ -204,7 +204,7 @@
 	kv = &l->node->opt.kv;
 	after = l->sweep.after[0] != '\0' ? l->sweep.after : NULL;
 	l->sweep.out = true;
-	lead_hold(l);
+	lead_ref(l);
 	kv->range(kv->self, KEY_ENDED, after, on_page, l);
 }
 
--- a/entry/members.c
+++ b/entry/members.c
@@ -634,7 +634,7 @@
 
 	drop_silent(node, now_ms);
 	n = count_members(node);
-	set_full(node, lead_full(node->lead), now_ms);
+	set_full(node, lead_full_queues(node->lead), now_ms);
 	common = common_beat(node, now_ms, n > 0 ? n - 1 : 0);
 	list = list_members(node);
 	learnt = NULL;
--- a/entry/node.c
+++ b/entry/node.c
@@ -138,7 +138,7 @@
 {
 	bool alone;
 
-	alone = lead_is_alone(node->lead, now_ms);
+	alone = lead_is_exclusive(node->lead, now_ms);
 	node_step_down(node, reason);
 	members_resign(node, alone);
 }
@@ -154,7 +154,7 @@
 check_outranked(struct node *node, int64_t now_ms)
 {
 	if (!lead_has_store(node->lead, now_ms) ||
-	    !lead_is_alone(node->lead, now_ms) ||
+	    !lead_is_exclusive(node->lead, now_ms) ||
 	    !members_stronger(node, now_ms)) {
 		node->outranked_ms = 0;
 		return;
@@ -257,7 +257,7 @@
 }
 
 void
-node_reply_in(struct node *node, uint64_t delay_ms)
+node_schedule_reply(struct node *node, uint64_t delay_ms)
 {
 	if (!uv_is_active((uv_handle_t *)&node->reply_timer) ||
 	    uv_timer_get_due_in(&node->reply_timer) > delay_ms)
--- a/entry/node.h
+++ b/entry/node.h
@@ -27,7 +27,7 @@
 	int64_t harm_ms; /* a serving task may be late so long */
 	struct kv_ops kv;
 	struct worker_ops workers;
-	struct world_ops platform;
+	struct platform_ops platform;
 };
 
 enum node_error {
--- a/entry/node_int.h
+++ b/entry/node_int.h
@@ -200,10 +200,10 @@
 void lead_members(struct lead *);
 bool lead_has_store(const struct lead *, int64_t now_ms);
 /* No leader of an earlier term acts any more. */
-bool lead_is_alone(const struct lead *, int64_t now_ms);
+bool lead_is_exclusive(const struct lead *, int64_t now_ms);
 json_t *lead_pending(struct lead *);
 /* Queues that take no new jobs that last; see sched_measure_headroom(). */
-json_t *lead_full(struct lead *);
+json_t *lead_full_queues(struct lead *);
 /* What was learnt of fillers, for a next leader; see interference_foreach(). */
 json_t *lead_learnt(struct lead *);
 typedef void lead_answered(
@@ -213,7 +213,7 @@
     const struct stored_job *, uint64_t number, const char *from,
     lead_answered *, void *ctx);
 /* Answers for a leader wait: send them after so long. */
-void node_reply_in(struct node *, uint64_t delay_ms);
+void node_schedule_reply(struct node *, uint64_t delay_ms);
 /* Stop and free the lead; the record is given up when it may be. */
 void node_step_down(struct node *, const char *reason);
 
--- a/entry/seam.h
+++ b/entry/seam.h
@@ -95,7 +95,7 @@
 	int64_t deadline_ms; /* on the worker's clock */
 };
 
-struct worker_look {
+struct worker_poll {
 	const struct sched_worker *worker;
 	uint64_t term;
 	uint64_t acknowledged;
@@ -119,7 +119,7 @@
 	void (*pace)(void *self, const struct worker_order *, int percent,
 	    worker_done *, void *);
 	void (*poll)(
-	    void *self, const struct worker_look *, worker_done *, void *);
+	    void *self, const struct worker_poll *, worker_done *, void *);
 };
 
 /* The operators' configuration, as far as scheduling needs it. */
@@ -147,7 +147,7 @@
 	int64_t leaves_in_ms; /* at the earliest, while it drains */
 };
 
-struct world_ops {
+struct platform_ops {
 	void *self;
 	const char *config_prefix; /* watched for the configuration */
 	const char *workers_prefix; /* watched for workers */
--- a/tests/handover_fixture.h
+++ b/tests/handover_fixture.h
@@ -675,7 +675,7 @@
 		Self(ctx)->Order(*order, done, done_ctx, [](Worker &) {});
 	}
 	static void
-	Look(void *ctx, const struct worker_look *look, worker_done *done,
+	Look(void *ctx, const struct worker_poll *look, worker_done *done,
 	    void *done_ctx)
 	{
 		struct worker_order order = { look->worker, nullptr, 0,
--- a/tests/test_carry.cc
+++ b/tests/test_carry.cc
@@ -67,7 +67,7 @@
 	void
 	Look()
 	{
-		struct worker_look order = {};
+		struct worker_poll order = {};
 
 		order.worker = &worker_;
 		order.term = node_.elect.leader.term;
--- a/tests/test_foreign.cc
+++ b/tests/test_foreign.cc
@@ -84,7 +84,7 @@
 	}
 
 	struct platform_world *world;
-	struct world_ops ops;
+	struct platform_ops ops;
 	struct refused refused;
 };
 
--- a/tests/test_submit.cc
+++ b/tests/test_submit.cc
@@ -125,7 +125,7 @@
 {
 	struct platform_world *w = platform_world_open();
 	const struct entry_config *config;
-	struct world_ops ops;
+	struct platform_ops ops;
 	size_t len;
 
 	platform_world_ops(w, &ops);
@@ -152,7 +152,7 @@
 {
 	struct platform_world *w = platform_world_open();
 	struct worker_info info;
-	struct world_ops ops;
+	struct platform_ops ops;
 
 	platform_world_ops(w, &ops);
 	memset(&info, 0, sizeof(info));
@@ -172,7 +172,7 @@
 {
 	struct platform_world *w = platform_world_open();
 	std::mt19937 random(2);
-	struct world_ops ops;
+	struct platform_ops ops;
 
 	platform_world_ops(w, &ops);
 	for (int i = 0; i < 20000; i++) {
