--- a/entry/accept.c
+++ b/entry/accept.c
@@ -117,7 +117,7 @@
 
 	now_ms = clock_now_ms();
 	notice =
-	    ask_new(a->node, ASK_JOB, job->id, now_ms + NOTICE_MS, NULL, NULL);
+	    leader_request_new(a->node, LEADER_REQUEST_JOB, job->id, now_ms + NOTICE_MS, NULL, NULL);
 	if (notice != NULL) {
 		/* Without memory the leader's watch tells it. */
 		notice->body = job->text;
@@ -126,7 +126,7 @@
 		job->text = NULL;
 	}
 	finish(job, NODE_ACCEPTED, "stored", 0);
-	asks_tick(a->node, now_ms);
+	leader_requests_tick(a->node, now_ms);
 }
 
 static bool
@@ -155,7 +155,7 @@
 	if (job->unsure || job->relayed || node->lead != NULL ||
 	    node->elect.leader.id[0] == '\0' || !node->elect.leader_has_store)
 		return false;
-	ask = ask_new(node, ASK_STORE, job->id,
+	ask = leader_request_new(node, LEADER_REQUEST_STORE, job->id,
 	    job->deadline_ms + DEADLINE_MARGIN_MS, job->replied, job->ctx);
 	if (ask == NULL)
 		return false;
--- a/entry/asks.c
+++ b/entry/asks.c
@@ -43,7 +43,7 @@
 	struct node_reply unsure;
 	node_replied *replied;
 
-	if (ask->kind == ASK_STORE && ask->sent > 1 &&
+	if (ask->kind == LEADER_REQUEST_STORE && ask->sent > 1 &&
 	    reply->outcome == NODE_NOT_DONE) {
 		unsure = *reply;
 		unsure.outcome = NODE_NO_ANSWER;
@@ -59,7 +59,7 @@
 }
 
 struct leader_request *
-ask_new(struct node *node, enum ask_kind kind, const char *job,
+leader_request_new(struct node *node, enum leader_request_kind kind, const char *job,
     int64_t deadline_ms, node_replied *replied, void *ctx)
 {
 	struct leader_request *ask;
@@ -67,7 +67,7 @@
 	if ((ask = calloc(1, sizeof(*ask))) == NULL)
 		return NULL;
 	ask->node = node;
-	ask->number = ++node->next_ask;
+	ask->number = ++node->next_request;
 	ask->kind = kind;
 	strlcpy(ask->job, job, sizeof(ask->job));
 	ask->created_ms = clock_now_ms();
@@ -157,7 +157,7 @@
 }
 
 void
-asks_request(struct node *node, const json_t *message)
+leader_requests_handle_request(struct node *node, const json_t *message)
 {
 	const char *from, *address, *kind, *job;
 	struct stored_job stored;
@@ -178,7 +178,7 @@
 	for (i = 0; i < sizeof(kind_names) / sizeof(kind_names[0]); i++) {
 		if (strcmp(kind, kind_names[i]) != 0)
 			continue;
-		lead_request(node->lead, (enum ask_kind)i, job, &stored,
+		lead_request(node->lead, (enum leader_request_kind)i, job, &stored,
 		    (uint64_t)json_integer_value(
 			json_object_get(message, "number")),
 		    from, on_leader_answer, node);
@@ -186,7 +186,7 @@
 }
 
 void
-asks_answered(struct node *node, const json_t *message)
+leader_requests_handle_answer(struct node *node, const json_t *message)
 {
 	struct node_reply reply;
 	struct leader_request *ask;
@@ -207,7 +207,7 @@
 }
 
 void
-asks_leader_changed(struct node *node)
+leader_requests_leader_changed(struct node *node)
 {
 	struct leader_request *ask;
 
@@ -321,7 +321,7 @@
 	memset(&reply, 0, sizeof(reply));
 	reply.outcome = NODE_NO_ANSWER;
 	reply.reason = "no_leader";
-	if ((ask->kind == ASK_CANCEL || ask->kind == ASK_STORE) &&
+	if ((ask->kind == LEADER_REQUEST_CANCEL || ask->kind == LEADER_REQUEST_STORE) &&
 	    ask->sent == 0) {
 		reply.outcome = NODE_NOT_DONE;
 		reply.retry_after_ms = NO_LEADER_RETRY_MS;
@@ -331,7 +331,7 @@
 }
 
 void
-asks_tick(struct node *node, int64_t now_ms)
+leader_requests_tick(struct node *node, int64_t now_ms)
 {
 	struct leader_request *ask, *next;
 
@@ -348,7 +348,7 @@
 			send_ask(ask, now_ms);
 	}
 	TAILQ_FOREACH (ask, &node->leader_requests, link) {
-		if (!ask->dead && ask->kind == ASK_STATE && !ask->reading &&
+		if (!ask->dead && ask->kind == LEADER_REQUEST_STATE && !ask->reading &&
 		    now_ms - ask->created_ms >= STORE_AFTER_MS &&
 		    now_ms >= ask->read_ms)
 			read_store(ask);
@@ -356,7 +356,7 @@
 }
 
 void
-asks_close(struct node *node)
+leader_requests_close(struct node *node)
 {
 	struct leader_request *ask, *next;
 
@@ -369,12 +369,12 @@
 }
 
 static void
-ask_or_refuse(struct node *node, enum ask_kind kind, const char *job,
+ask_or_refuse(struct node *node, enum leader_request_kind kind, const char *job,
     int64_t deadline_ms, node_replied *replied, void *ctx)
 {
 	struct node_reply reply;
 
-	if (ask_new(node, kind, job, deadline_ms, replied, ctx) != NULL)
+	if (leader_request_new(node, kind, job, deadline_ms, replied, ctx) != NULL)
 		return;
 	memset(&reply, 0, sizeof(reply));
 	reply.outcome = NODE_NOT_DONE;
@@ -387,12 +387,12 @@
 node_state(struct node *node, const char *job, int64_t deadline_ms,
     node_replied *replied, void *ctx)
 {
-	ask_or_refuse(node, ASK_STATE, job, deadline_ms, replied, ctx);
+	ask_or_refuse(node, LEADER_REQUEST_STATE, job, deadline_ms, replied, ctx);
 }
 
 void
 node_cancel(struct node *node, const char *job, int64_t deadline_ms,
     node_replied *replied, void *ctx)
 {
-	ask_or_refuse(node, ASK_CANCEL, job, deadline_ms, replied, ctx);
+	ask_or_refuse(node, LEADER_REQUEST_CANCEL, job, deadline_ms, replied, ctx);
 }
--- a/entry/carrier.c
+++ b/entry/carrier.c
@@ -25,7 +25,7 @@
 	TAILQ_ENTRY(answers) link;
 	char leader[ELECT_ID_MAX];
 	int64_t since_ms;
-	struct carry_writer gathered;
+	struct relay_writer gathered;
 	msgpack_sbuffer message; /* that couldn't be sent yet; may be empty */
 };
 
@@ -52,7 +52,7 @@
 		return NULL;
 	strlcpy(answers->leader, leader, sizeof(answers->leader));
 	answers->since_ms = clock_now_ms();
-	carry_writer_init(&answers->gathered);
+	relay_writer_init(&answers->gathered);
 	msgpack_sbuffer_init(&answers->message);
 	TAILQ_INSERT_TAIL(&node->answers, answers, link);
 	return answers;
@@ -62,7 +62,7 @@
 answers_free(struct node *node, struct answers *answers)
 {
 	TAILQ_REMOVE(&node->answers, answers, link);
-	carry_writer_free(&answers->gathered);
+	relay_writer_free(&answers->gathered);
 	msgpack_sbuffer_destroy(&answers->message);
 	free(answers);
 }
@@ -72,7 +72,7 @@
 send_answers(struct node *node, struct answers *answers)
 {
 	if (answers->message.size == 0 &&
-	    !carry_write_answers(
+	    !relay_write_answers(
 		&answers->gathered, node->id, &answers->message)) {
 		/* The leader gives up on them by itself. */
 		log_error("carry", "error=memory");
@@ -83,7 +83,7 @@
 }
 
 void
-carry_reply(struct node *node)
+relay_send_answers(struct node *node)
 {
 	struct answers *answers, *next;
 	int64_t now_ms;
@@ -99,17 +99,17 @@
 		}
 		answers_free(node, answers);
 	}
-	kept_expire(&node->lists, now_ms);
+	running_lists_expire(&node->lists, now_ms);
 }
 
 void
-carry_drop(struct node *node)
+relay_free_answers(struct node *node)
 {
 	struct answers *answers;
 
 	while ((answers = TAILQ_FIRST(&node->answers)) != NULL)
 		answers_free(node, answers);
-	kept_free(&node->lists);
+	running_lists_free(&node->lists);
 }
 
 /* The answer of a look says what changed since the one that is its base. */
@@ -117,25 +117,25 @@
 write_answer(struct answers *answers, const struct carried_call *call,
     const struct worker_result *result)
 {
-	const struct kept_list *base;
-	struct carry_answer answer;
-	struct kept_lists *lists;
+	const struct running_list *base;
+	struct relay_answer answer;
+	struct running_lists *lists;
 
 	memset(&answer, 0, sizeof(answer));
 	answer.number = call->number;
 	answer.answer = result->answer;
 	answer.clock_ms = result->clock_ms;
 	if (!call->look || result->poll == NULL) {
-		carry_write_answer(&answers->gathered, &answer, NULL);
+		relay_write_answer(&answers->gathered, &answer, NULL);
 		return;
 	}
 	lists = &call->node->lists;
 	answer.worker = call->worker;
 	answer.look = result->poll;
 	base =
-	    call->base != 0 ? kept_find(lists, call->worker, call->base) : NULL;
-	carry_write_answer(&answers->gathered, &answer, base);
-	kept_set(lists, call->worker, call->number, result->poll->running,
+	    call->base != 0 ? running_list_find(lists, call->worker, call->base) : NULL;
+	relay_write_answer(&answers->gathered, &answer, base);
+	running_list_put(lists, call->worker, call->number, result->poll->running,
 	    result->poll->nrunning, clock_now_ms());
 }
 
@@ -156,27 +156,27 @@
 }
 
 static void
-make_call(const struct worker_ops *ops, const struct carry_order *order,
+make_call(const struct worker_ops *ops, const struct relay_order *order,
     const struct worker_order *to, struct carried_call *call)
 {
 	struct worker_start start;
 	struct worker_poll look;
 
 	switch (order->kind) {
-	case CARRY_START:
+	case RELAY_START:
 		start.order = *to;
 		start.payload = order->payload;
 		start.checkpoint = order->checkpoint;
 		start.deadline_ms = order->deadline_ms;
 		ops->start(ops->self, &start, on_called, call);
 		break;
-	case CARRY_STOP:
+	case RELAY_STOP:
 		ops->stop(ops->self, to, on_called, call);
 		break;
-	case CARRY_PACE:
+	case RELAY_PACE:
 		ops->pace(ops->self, to, order->percent, on_called, call);
 		break;
-	case CARRY_LOOK:
+	case RELAY_POLL:
 		look.worker = to->worker;
 		look.term = to->term;
 		look.acknowledged = order->acknowledged;
@@ -189,7 +189,7 @@
 
 static void
 on_order(const char *leader, const char *address, uint64_t term,
-    const struct carry_order *order, void *ctx)
+    const struct relay_order *order, void *ctx)
 {
 	struct sched_worker worker;
 	struct carried_call *call;
@@ -206,7 +206,7 @@
 	strlcpy(call->worker, order->worker, sizeof(call->worker));
 	call->number = order->number;
 	call->base = order->base;
-	call->look = order->kind == CARRY_LOOK;
+	call->look = order->kind == RELAY_POLL;
 	memset(&worker, 0, sizeof(worker));
 	strlcpy(worker.id, order->worker, sizeof(worker.id));
 	strlcpy(worker.address, order->address, sizeof(worker.address));
@@ -218,12 +218,12 @@
 }
 
 void
-carry_orders(struct node *node, const void *message, size_t len)
+relay_handle_orders(struct node *node, const void *message, size_t len)
 {
-	struct carry_reader reader;
+	struct relay_reader reader;
 
 	memset(&reader, 0, sizeof(reader));
 	reader.order = on_order;
 	reader.ctx = node;
-	carry_read(message, len, &reader);
+	relay_read(message, len, &reader);
 }
--- a/entry/carry.c
+++ b/entry/carry.c
@@ -43,15 +43,15 @@
 };
 RB_HEAD(carried_tree, carried);
 
-struct carry {
+struct order_relay {
 	struct node *node;
 	struct carried_tree orders;
 	struct routes routes;
 	struct route_member *members; /* that the routes choose from */
-	struct kept_lists lists; /* what workers listed last */
+	struct running_lists lists; /* what workers listed last */
 	uint64_t next;
 	bool use;
-	carry_late *late;
+	relay_late_cb *late;
 	void *late_ctx;
 };
 
@@ -73,17 +73,17 @@
 
 	member = data;
 	*until_ms = now_ms + SILENT_RETRY_MS;
-	if (now_ms < member->rest_until_ms) {
-		*until_ms = member->rest_until_ms;
+	if (now_ms < member->avoid_until_ms) {
+		*until_ms = member->avoid_until_ms;
 		return false;
 	}
-	return member->carries && now_ms - member->heard_ms <= FRESH_MS;
+	return member->can_relay && now_ms - member->heard_ms <= FRESH_MS;
 }
 
-struct carry *
-carry_open(struct node *node, carry_late *late, void *late_ctx)
+struct order_relay *
+relay_open(struct node *node, relay_late_cb *late, void *late_ctx)
 {
-	struct carry *c;
+	struct order_relay *c;
 
 	if ((c = calloc(1, sizeof(*c))) == NULL)
 		return NULL;
@@ -93,14 +93,14 @@
 	c->next = node->elect.leader.term << TERM_SHIFT;
 	RB_INIT(&c->orders);
 	routes_init(&c->routes, may_carry);
-	kept_init(&c->lists);
-	carry_members(c);
+	running_lists_init(&c->lists);
+	relay_update_members(c);
 	return c;
 }
 
 /* Without memory the leader makes its calls itself. */
 void
-carry_members(struct carry *c)
+relay_update_members(struct order_relay *c)
 {
 	struct member *member;
 	size_t n;
@@ -124,7 +124,7 @@
 
 static void
 finish(
-    struct carry *c, struct carried *order, const struct worker_result *result)
+    struct order_relay *c, struct carried *order, const struct worker_result *result)
 {
 	RB_REMOVE(carried_tree, &c->orders, order);
 	order->done(result, order->ctx);
@@ -132,7 +132,7 @@
 }
 
 static void
-lose(struct carry *c, struct carried *order)
+lose(struct order_relay *c, struct carried *order)
 {
 	struct worker_result lost;
 
@@ -146,16 +146,16 @@
  * of ours they would pass for orders of that term.
  */
 static void
-drop_gathered(struct carry *c)
+drop_gathered(struct order_relay *c)
 {
 	struct member *member;
 
 	TAILQ_FOREACH (member, &c->node->members, link)
-		carry_writer_clear(&member->orders);
+		relay_writer_clear(&member->orders);
 }
 
 void
-carry_close(struct carry *c)
+relay_close(struct order_relay *c)
 {
 	struct carried *order;
 
@@ -163,13 +163,13 @@
 	while ((order = RB_MIN(carried_tree, &c->orders)) != NULL)
 		lose(c, order);
 	routes_free(&c->routes);
-	kept_free(&c->lists);
+	running_lists_free(&c->lists);
 	free(c->members);
 	free(c);
 }
 
 void
-carry_use(struct carry *c, bool use)
+relay_enable(struct order_relay *c, bool use)
 {
 	if (c->use != use)
 		log_info("carry", "by_members=%d", (int)use);
@@ -178,7 +178,7 @@
 
 /* NULL: the leader makes the call itself. */
 static struct member *
-pick_member(struct carry *c, const struct sched_worker *worker)
+pick_member(struct order_relay *c, const struct sched_worker *worker)
 {
 	if (!c->use)
 		return NULL;
@@ -188,7 +188,7 @@
 
 /* Number the order, and give it to the member. */
 static void
-give(struct carry *c, struct member *member, struct carry_order *order,
+give(struct order_relay *c, struct member *member, struct relay_order *order,
     int64_t timeout_ms, worker_done *done, void *ctx)
 {
 	struct carried *carried;
@@ -205,11 +205,11 @@
 	carried->ctx = ctx;
 	RB_INSERT(carried_tree, &c->orders, carried);
 	order->number = carried->number;
-	carry_write_order(&member->orders, order);
+	relay_write_order(&member->orders, order);
 }
 
 static void
-order_of(struct carry_order *order, enum carry_kind kind,
+order_of(struct relay_order *order, enum relay_kind kind,
     const struct sched_worker *worker)
 {
 	memset(order, 0, sizeof(*order));
@@ -219,7 +219,7 @@
 }
 
 static void
-order_of_task(struct carry_order *order, enum carry_kind kind,
+order_of_task(struct relay_order *order, enum relay_kind kind,
     const struct worker_order *from)
 {
 	order_of(order, kind, from->worker);
@@ -231,9 +231,9 @@
 start(void *self, const struct worker_start *from, worker_done *done, void *ctx)
 {
 	const struct worker_ops *direct;
-	struct carry_order order;
+	struct relay_order order;
 	struct member *member;
-	struct carry *c;
+	struct order_relay *c;
 
 	c = self;
 	direct = &c->node->opt.workers;
@@ -241,7 +241,7 @@
 		direct->start(direct->self, from, done, ctx);
 		return;
 	}
-	order_of_task(&order, CARRY_START, &from->order);
+	order_of_task(&order, RELAY_START, &from->order);
 	order.payload = from->payload;
 	order.checkpoint = from->checkpoint;
 	order.deadline_ms = from->deadline_ms;
@@ -252,9 +252,9 @@
 stop(void *self, const struct worker_order *from, worker_done *done, void *ctx)
 {
 	const struct worker_ops *direct;
-	struct carry_order order;
+	struct relay_order order;
 	struct member *member;
-	struct carry *c;
+	struct order_relay *c;
 
 	c = self;
 	direct = &c->node->opt.workers;
@@ -262,7 +262,7 @@
 		direct->stop(direct->self, from, done, ctx);
 		return;
 	}
-	order_of_task(&order, CARRY_STOP, from);
+	order_of_task(&order, RELAY_STOP, from);
 	give(c, member, &order, ORDER_MS, done, ctx);
 }
 
@@ -271,9 +271,9 @@
     worker_done *done, void *ctx)
 {
 	const struct worker_ops *direct;
-	struct carry_order order;
+	struct relay_order order;
 	struct member *member;
-	struct carry *c;
+	struct order_relay *c;
 
 	c = self;
 	direct = &c->node->opt.workers;
@@ -281,7 +281,7 @@
 		direct->pace(direct->self, from, percent, done, ctx);
 		return;
 	}
-	order_of_task(&order, CARRY_PACE, from);
+	order_of_task(&order, RELAY_PACE, from);
 	order.percent = percent;
 	give(c, member, &order, ORDER_MS, done, ctx);
 }
@@ -290,9 +290,9 @@
 look(void *self, const struct worker_poll *from, worker_done *done, void *ctx)
 {
 	const struct worker_ops *direct;
-	struct carry_order order;
+	struct relay_order order;
 	struct member *member;
-	struct carry *c;
+	struct order_relay *c;
 
 	c = self;
 	direct = &c->node->opt.workers;
@@ -300,16 +300,16 @@
 		direct->poll(direct->self, from, done, ctx);
 		return;
 	}
-	order_of(&order, CARRY_LOOK, from->worker);
+	order_of(&order, RELAY_POLL, from->worker);
 	order.acknowledged = from->acknowledged;
 	order.deadline_ms = from->deadline_ms;
 	order.wait_ms = from->wait_ms;
-	order.base = kept_number(&c->lists, from->worker->id);
+	order.base = running_list_number(&c->lists, from->worker->id);
 	give(c, member, &order, from->wait_ms + LOOK_SLACK_MS, done, ctx);
 }
 
 void
-carry_ops(struct carry *c, struct worker_ops *ops)
+relay_worker_ops(struct order_relay *c, struct worker_ops *ops)
 {
 	ops->self = c;
 	ops->start = start;
@@ -319,7 +319,7 @@
 }
 
 void
-carry_flush(struct carry *c)
+relay_flush(struct order_relay *c)
 {
 	const struct node *node;
 	struct member *member;
@@ -331,17 +331,17 @@
 			continue;
 		msgpack_sbuffer_init(&message);
 		/* Not sent: given up on in a moment, as if it were lost. */
-		if (!carry_write_orders(&member->orders, node->id,
+		if (!relay_write_orders(&member->orders, node->id,
 			node->address, node->elect.leader.term, &message) ||
 		    !members_send_bytes(c->node, member->id, "orders",
 			message.data, message.size))
-			member->rest_until_ms = clock_now_ms() + REST_MS;
+			member->avoid_until_ms = clock_now_ms() + REST_MS;
 		msgpack_sbuffer_destroy(&message);
 	}
 }
 
 double
-carry_gathered(const struct carry *c)
+relay_pending_bytes(const struct order_relay *c)
 {
 	const struct member *member;
 	double bytes;
@@ -356,13 +356,13 @@
 }
 
 void
-carry_tick(struct carry *c, int64_t now_ms)
+relay_tick(struct order_relay *c, int64_t now_ms)
 {
 	struct carried *order, *next;
 	struct member *member;
 
 	routes_expire(&c->routes, now_ms);
-	kept_expire(&c->lists, now_ms);
+	running_lists_expire(&c->lists, now_ms);
 	for (order = RB_MIN(carried_tree, &c->orders); order != NULL;
 	     order = next) {
 		next = RB_NEXT(carried_tree, &c->orders, order);
@@ -370,7 +370,7 @@
 			continue;
 		member = member_get(c->node, order->member);
 		if (member != NULL)
-			member->rest_until_ms = now_ms + REST_MS;
+			member->avoid_until_ms = now_ms + REST_MS;
 		counter_reason("lagoonpin_carry_lost", "no_answer");
 		lose(c, order);
 	}
@@ -382,7 +382,7 @@
  * worker seems to have lapsed.
  */
 static void
-note_late(struct carry *c, const struct carry_answer *answer)
+note_late(struct order_relay *c, const struct relay_answer *answer)
 {
 	if (answer->look == NULL || answer->look->nfinished == 0)
 		return;
@@ -393,7 +393,7 @@
 /* The member may be the one that can't reach the worker. */
 static void
 note_route(
-    struct carry *c, const struct carried *order, enum worker_answer answer)
+    struct order_relay *c, const struct carried *order, enum worker_answer answer)
 {
 	if (answer == ANSWER_LOST || answer == ANSWER_NOT_SENT)
 		route_call_lost(&c->routes, order->worker, clock_now_ms());
@@ -403,18 +403,18 @@
 
 /* Rows of the answer may be the kept list's until that is replaced. */
 static void
-keep_list(struct carry *c, const struct carry_answer *answer)
+keep_list(struct order_relay *c, const struct relay_answer *answer)
 {
-	kept_set(&c->lists, answer->worker, answer->number,
+	running_list_put(&c->lists, answer->worker, answer->number,
 	    answer->look->running, answer->look->nrunning, clock_now_ms());
 }
 
 static void
-on_answer(const struct carry_answer *answer, void *ctx)
+on_answer(const struct relay_answer *answer, void *ctx)
 {
 	struct worker_result result;
 	struct carried key, *order;
-	struct carry *c;
+	struct order_relay *c;
 
 	c = ctx;
 	key.number = answer->number;
@@ -426,7 +426,7 @@
 	if (answer->answer == ANSWER_LOST) {
 		note_late(c, answer);
 		if (answer->worker != NULL)
-			kept_drop(&c->lists, answer->worker);
+			running_list_remove(&c->lists, answer->worker);
 		lose(c, order);
 		return;
 	}
@@ -439,23 +439,23 @@
 		keep_list(c, answer);
 }
 
-static const struct kept_list *
+static const struct running_list *
 base_of(const char *worker, uint64_t number, void *ctx)
 {
-	struct carry *c;
+	struct order_relay *c;
 
 	c = ctx;
-	return kept_find(&c->lists, worker, number);
+	return running_list_find(&c->lists, worker, number);
 }
 
 void
-carry_answered(struct carry *c, const void *message, size_t len)
+relay_handle_answers(struct order_relay *c, const void *message, size_t len)
 {
-	struct carry_reader reader;
+	struct relay_reader reader;
 
 	memset(&reader, 0, sizeof(reader));
 	reader.answer = on_answer;
 	reader.base = base_of;
 	reader.ctx = c;
-	carry_read(message, len, &reader);
+	relay_read(message, len, &reader);
 }
--- a/entry/carry.h
+++ b/entry/carry.h
@@ -13,37 +13,37 @@
  * own.
  */
 
-struct carry;
+struct order_relay;
 struct node;
 
 /* Ends that a worker told in an answer to a look that was given up on. */
-typedef void carry_late(
+typedef void relay_late_cb(
     const char *worker, const struct poll_result *, void *ctx);
 
 /* NULL: no memory. */
-struct carry *carry_open(struct node *, carry_late *, void *ctx);
+struct order_relay *relay_open(struct node *, relay_late_cb *, void *ctx);
 /* Calls under way are answered as lost before this returns. */
-void carry_close(struct carry *);
+void relay_close(struct order_relay *);
 /* The workers' table for the leader: by members, or directly. */
-void carry_ops(struct carry *, struct worker_ops *);
+void relay_worker_ops(struct order_relay *, struct worker_ops *);
 /* Orders go through members from now on, or not any more. */
-void carry_use(struct carry *, bool use);
+void relay_enable(struct order_relay *, bool use);
 /* Send what was gathered; call it after each act of the scheduler. */
-void carry_flush(struct carry *);
+void relay_flush(struct order_relay *);
 /* Bytes that the next flush will send; 0: there is nothing to send. */
-double carry_gathered(const struct carry *);
+double relay_pending_bytes(const struct order_relay *);
 /* Give up on what wasn't answered. */
-void carry_tick(struct carry *, int64_t now_ms);
+void relay_tick(struct order_relay *, int64_t now_ms);
 /* The members aren't those of before, or their terms. */
-void carry_members(struct carry *);
+void relay_update_members(struct order_relay *);
 /* A member's answers arrived. */
-void carry_answered(struct carry *, const void *message, size_t len);
+void relay_handle_answers(struct order_relay *, const void *message, size_t len);
 
 /* The member's side: orders of a leader arrived. */
-void carry_orders(struct node *, const void *message, size_t len);
+void relay_handle_orders(struct node *, const void *message, size_t len);
 /* Send the answers that came since the last call. */
-void carry_reply(struct node *);
+void relay_send_answers(struct node *);
 /* Forget those that couldn't be sent. */
-void carry_drop(struct node *);
+void relay_free_answers(struct node *);
 
 #endif /* CARRY_H */
--- a/entry/carryread.c
+++ b/entry/carryread.c
@@ -8,7 +8,7 @@
 /* Reading of the messages of carrywire.h, which another entry sent. */
 
 struct reading {
-	const struct carry_reader *to;
+	const struct relay_reader *to;
 	char *texts; /* those read so far; each is shorter than its bytes */
 	size_t used;
 	const char *payload; /* of the last start */
@@ -57,30 +57,30 @@
 }
 
 static void
-get_order(struct reading *g, struct wire_reader *r, struct carry_order *order)
+get_order(struct reading *g, struct wire_reader *r, struct relay_order *order)
 {
 	memset(order, 0, sizeof(*order));
-	order->kind = (enum carry_kind)wire_uint(r, CARRY_LOOK);
+	order->kind = (enum relay_kind)wire_uint(r, RELAY_POLL);
 	order->number = wire_uint(r, UINT64_MAX);
 	order->worker = get_text(g, r, SCHED_WORKER_ID_MAX - 1);
 	order->address =
 	    get_text(g, r, sizeof(((struct sched_worker *)NULL)->address) - 1);
-	if (order->kind != CARRY_LOOK)
+	if (order->kind != RELAY_POLL)
 		get_task(r, &order->task, &order->attempt);
-	if (order->kind == CARRY_START) {
+	if (order->kind == RELAY_START) {
 		order->deadline_ms = (int64_t)wire_uint(r, INT64_MAX);
 		order->checkpoint = get_text(g, r, CHECKPOINT_MAX);
 		if (order->checkpoint[0] == '\0')
 			order->checkpoint = NULL;
 		get_payload(g, r, &order->payload);
-	} else if (order->kind == CARRY_PACE)
+	} else if (order->kind == RELAY_PACE)
 		order->percent = (int)wire_uint(r, 100);
-	else if (order->kind == CARRY_LOOK) {
+	else if (order->kind == RELAY_POLL) {
 		order->acknowledged = wire_uint(r, UINT64_MAX);
 		order->deadline_ms = (int64_t)wire_uint(r, INT64_MAX);
 		order->wait_ms = (int64_t)wire_uint(r, INT32_MAX);
 		order->base = wire_uint(r, UINT64_MAX);
-	} else if (order->kind != CARRY_STOP)
+	} else if (order->kind != RELAY_STOP)
 		r->error = WIRE_ERR_TYPE;
 }
 
@@ -89,7 +89,7 @@
 {
 	char leader[ELECT_ID_MAX], address[ELECT_ADDRESS_MAX];
 	struct wire_reader list, one;
-	struct carry_order order;
+	struct relay_order order;
 	uint64_t term;
 
 	wire_str(r, leader, sizeof(leader));
@@ -109,12 +109,12 @@
 /* A row that the base has, with what is new of it. */
 static void
 get_known(struct reading *g, struct wire_reader *r,
-    const struct kept_list *base, struct poll_running *row)
+    const struct running_list *base, struct poll_running *row)
 {
 	uint64_t place;
 	bool moved;
 
-	moved = r->left == MOVED_ITEMS;
+	moved = r->left == DELTA_CHECKPOINT_ITEMS;
 	place = wire_uint(r, SIZE_MAX);
 	if (base == NULL || place >= base->n) {
 		r->error = WIRE_ERR_FORM;
@@ -129,7 +129,7 @@
 
 static void
 get_running(struct reading *g, struct wire_reader *r,
-    const struct kept_list *base, struct poll_running *row)
+    const struct running_list *base, struct poll_running *row)
 {
 	if (r->left < RUNNING_ITEMS) {
 		get_known(g, r, base, row);
@@ -154,7 +154,7 @@
 /* The list of running tasks, to be freed; NULL: no memory. */
 static struct poll_running *
 get_all_running(struct reading *g, struct wire_reader *r,
-    const struct kept_list *base, size_t *n)
+    const struct running_list *base, size_t *n)
 {
 	struct poll_running *rows;
 	struct wire_reader list, one;
@@ -194,9 +194,9 @@
  */
 static struct poll_running *
 get_running_or_lose(struct reading *g, struct wire_reader *r,
-    struct carry_answer *answer, size_t *n)
+    struct relay_answer *answer, size_t *n)
 {
-	const struct kept_list *base;
+	const struct running_list *base;
 
 	base = NULL;
 	answer->base = wire_uint(r, UINT64_MAX);
@@ -211,7 +211,7 @@
 
 static void
 get_look_answer(
-    struct reading *g, struct wire_reader *r, struct carry_answer *answer)
+    struct reading *g, struct wire_reader *r, struct relay_answer *answer)
 {
 	struct poll_finished *finished;
 	struct poll_running *running;
@@ -237,7 +237,7 @@
 static void
 get_answer(struct reading *g, struct wire_reader *r)
 {
-	struct carry_answer answer;
+	struct relay_answer answer;
 	bool look;
 
 	look = r->left > ANSWER_ITEMS;
@@ -263,7 +263,7 @@
 	wire_str(r, member, sizeof(member));
 	list = wire_array(r, ITEMS_MAX);
 	while (list.error == WIRE_OK && list.left > 0) {
-		one = wire_array(&list, LISTS_ITEMS);
+		one = wire_array(&list, POLL_ANSWER_ITEMS);
 		if (list.error != WIRE_OK)
 			break;
 		get_answer(g, &one);
@@ -281,23 +281,23 @@
 
 	g = out;
 	version = wire_uint(r, UINT64_MAX);
-	if (r->error == WIRE_OK && version != CARRY_VERSION) {
+	if (r->error == WIRE_OK && version != RELAY_VERSION) {
 		r->error = WIRE_ERR_VERSION;
 		return;
 	}
 	type = wire_uint(r, UINT64_MAX);
 	if (r->error != WIRE_OK)
 		return;
-	if (type == CARRY_ORDERS)
+	if (type == RELAY_ORDERS)
 		get_orders(g, r);
-	else if (type == CARRY_ANSWERS)
+	else if (type == RELAY_ANSWERS)
 		get_answers(g, r);
 	else
 		r->error = WIRE_ERR_TYPE;
 }
 
 bool
-carry_read(const void *data, size_t len, const struct carry_reader *to)
+relay_read(const void *data, size_t len, const struct relay_reader *to)
 {
 	enum wire_error error;
 	struct reading g;
@@ -316,7 +316,7 @@
 #define SHORT_ARRAY 0x90
 
 bool
-carry_is_message(const void *data, size_t len)
+relay_is_message(const void *data, size_t len)
 {
 	const uint8_t *bytes;
 
@@ -325,7 +325,7 @@
 }
 
 bool
-carry_is_orders(const void *data, size_t len)
+relay_is_orders(const void *data, size_t len)
 {
 	const uint8_t *bytes;
 
--- a/entry/carrywire.c
+++ b/entry/carrywire.c
@@ -8,7 +8,7 @@
 /* Writing of the messages; reading is in carryread.c. */
 
 void
-carry_writer_init(struct carry_writer *w)
+relay_writer_init(struct relay_writer *w)
 {
 	msgpack_sbuffer_init(&w->items);
 	w->n = 0;
@@ -16,7 +16,7 @@
 }
 
 void
-carry_writer_clear(struct carry_writer *w)
+relay_writer_clear(struct relay_writer *w)
 {
 	msgpack_sbuffer_clear(&w->items);
 	w->n = 0;
@@ -25,7 +25,7 @@
 }
 
 void
-carry_writer_free(struct carry_writer *w)
+relay_writer_free(struct relay_writer *w)
 {
 	msgpack_sbuffer_destroy(&w->items);
 	free(w->payload);
@@ -52,7 +52,7 @@
 
 /* Tasks of a step follow each other: their payload is written once. */
 static void
-put_payload(struct carry_writer *w, msgpack_packer *pk, const char *payload)
+put_payload(struct relay_writer *w, msgpack_packer *pk, const char *payload)
 {
 	if (w->payload != NULL && strcmp(w->payload, payload) == 0) {
 		msgpack_pack_nil(pk);
@@ -64,23 +64,23 @@
 }
 
 static size_t
-items_of(enum carry_kind kind)
+items_of(enum relay_kind kind)
 {
 	switch (kind) {
-	case CARRY_START:
+	case RELAY_START:
 		return START_ITEMS;
-	case CARRY_STOP:
+	case RELAY_STOP:
 		return STOP_ITEMS;
-	case CARRY_PACE:
+	case RELAY_PACE:
 		return PACE_ITEMS;
-	case CARRY_LOOK:
-		return LOOK_ITEMS;
+	case RELAY_POLL:
+		return POLL_ITEMS;
 	}
 	return 0;
 }
 
 void
-carry_write_order(struct carry_writer *w, const struct carry_order *order)
+relay_write_order(struct relay_writer *w, const struct relay_order *order)
 {
 	msgpack_packer pk;
 
@@ -90,16 +90,16 @@
 	msgpack_pack_uint64(&pk, order->number);
 	wire_put_str(&pk, order->worker);
 	wire_put_str(&pk, order->address);
-	if (order->kind != CARRY_LOOK)
+	if (order->kind != RELAY_POLL)
 		put_task(&pk, &order->task, order->attempt);
-	if (order->kind == CARRY_START) {
+	if (order->kind == RELAY_START) {
 		put_number(&pk, order->deadline_ms);
 		wire_put_str(
 		    &pk, order->checkpoint != NULL ? order->checkpoint : "");
 		put_payload(w, &pk, order->payload);
-	} else if (order->kind == CARRY_PACE)
+	} else if (order->kind == RELAY_PACE)
 		put_number(&pk, order->percent);
-	else if (order->kind == CARRY_LOOK) {
+	else if (order->kind == RELAY_POLL) {
 		msgpack_pack_uint64(&pk, order->acknowledged);
 		put_number(&pk, order->deadline_ms);
 		put_number(&pk, order->wait_ms);
@@ -110,7 +110,7 @@
 
 /* The array of what was gathered; false: some of it found no memory. */
 static bool
-put_items(struct carry_writer *w, msgpack_packer *pk, msgpack_sbuffer *out)
+put_items(struct relay_writer *w, msgpack_packer *pk, msgpack_sbuffer *out)
 {
 	size_t len;
 	int failed;
@@ -119,20 +119,20 @@
 	failed = msgpack_pack_array(pk, w->n);
 	if (failed == 0 && len > 0)
 		failed = msgpack_sbuffer_write(out, w->items.data, len);
-	carry_writer_clear(w);
+	relay_writer_clear(w);
 	return failed == 0;
 }
 
 bool
-carry_write_orders(struct carry_writer *w, const char *leader,
+relay_write_orders(struct relay_writer *w, const char *leader,
     const char *address, uint64_t term, msgpack_sbuffer *out)
 {
 	msgpack_packer pk;
 
 	msgpack_packer_init(&pk, out, msgpack_sbuffer_write);
 	msgpack_pack_array(&pk, ORDERS_ITEMS);
-	msgpack_pack_int(&pk, CARRY_VERSION);
-	msgpack_pack_int(&pk, CARRY_ORDERS);
+	msgpack_pack_int(&pk, RELAY_VERSION);
+	msgpack_pack_int(&pk, RELAY_ORDERS);
 	wire_put_str(&pk, leader);
 	wire_put_str(&pk, address);
 	msgpack_pack_uint64(&pk, term);
@@ -150,7 +150,7 @@
 
 /* The row's place in the base; its n: it is new.  They keep their order. */
 static size_t
-place_of(const struct kept_list *base, const struct poll_running *row,
+place_of(const struct running_list *base, const struct poll_running *row,
     size_t expected)
 {
 	size_t i;
@@ -171,7 +171,7 @@
 	bool moved;
 
 	moved = strcmp(row->checkpoint, before->checkpoint) != 0;
-	msgpack_pack_array(pk, moved ? MOVED_ITEMS : KNOWN_ITEMS);
+	msgpack_pack_array(pk, moved ? DELTA_CHECKPOINT_ITEMS : DELTA_ITEMS);
 	msgpack_pack_uint64(pk, place);
 	put_number(pk, row->percent);
 	put_number(pk, row->measurement);
@@ -191,7 +191,7 @@
 
 static void
 put_all_running(msgpack_packer *pk, const struct poll_result *look,
-    const struct kept_list *base)
+    const struct running_list *base)
 {
 	size_t i, place;
 
@@ -221,8 +221,8 @@
 }
 
 void
-carry_write_answer(struct carry_writer *w, const struct carry_answer *answer,
-    const struct kept_list *base)
+relay_write_answer(struct relay_writer *w, const struct relay_answer *answer,
+    const struct running_list *base)
 {
 	const struct poll_result *look;
 	msgpack_packer pk;
@@ -230,7 +230,7 @@
 
 	look = answer->look;
 	msgpack_packer_init(&pk, &w->items, msgpack_sbuffer_write);
-	msgpack_pack_array(&pk, look != NULL ? LISTS_ITEMS : ANSWER_ITEMS);
+	msgpack_pack_array(&pk, look != NULL ? POLL_ANSWER_ITEMS : ANSWER_ITEMS);
 	msgpack_pack_uint64(&pk, answer->number);
 	msgpack_pack_int(&pk, (int)answer->answer);
 	put_number(&pk, answer->clock_ms);
@@ -246,15 +246,15 @@
 }
 
 bool
-carry_write_answers(
-    struct carry_writer *w, const char *member, msgpack_sbuffer *out)
+relay_write_answers(
+    struct relay_writer *w, const char *member, msgpack_sbuffer *out)
 {
 	msgpack_packer pk;
 
 	msgpack_packer_init(&pk, out, msgpack_sbuffer_write);
 	msgpack_pack_array(&pk, ANSWERS_ITEMS);
-	msgpack_pack_int(&pk, CARRY_VERSION);
-	msgpack_pack_int(&pk, CARRY_ANSWERS);
+	msgpack_pack_int(&pk, RELAY_VERSION);
+	msgpack_pack_int(&pk, RELAY_ANSWERS);
 	wire_put_str(&pk, member);
 	return put_items(w, &pk, out);
 }
--- a/entry/carrywire.h
+++ b/entry/carrywire.h
@@ -14,12 +14,12 @@
  */
 
 /* Others are refused; the leader gives orders to members of its own only. */
-#define CARRY_VERSION 2
+#define RELAY_VERSION 2
 
-enum carry_kind { CARRY_START = 1, CARRY_STOP, CARRY_PACE, CARRY_LOOK };
+enum relay_kind { RELAY_START = 1, RELAY_STOP, RELAY_PACE, RELAY_POLL };
 
-struct carry_order {
-	enum carry_kind kind;
+struct relay_order {
+	enum relay_kind kind;
 	uint64_t number; /* of the order; its answer names it */
 	const char *worker;
 	const char *address;
@@ -35,23 +35,23 @@
 };
 
 /* Orders for a member, or answers for a leader, until they are sent. */
-struct carry_writer {
+struct relay_writer {
 	msgpack_sbuffer items;
 	size_t n;
 	char *payload; /* of the last start, which the next one may share */
 };
 
-void carry_writer_init(struct carry_writer *);
-void carry_writer_free(struct carry_writer *);
+void relay_writer_init(struct relay_writer *);
+void relay_writer_free(struct relay_writer *);
 /* Forget what was gathered. */
-void carry_writer_clear(struct carry_writer *);
+void relay_writer_clear(struct relay_writer *);
 
-void carry_write_order(struct carry_writer *, const struct carry_order *);
+void relay_write_order(struct relay_writer *, const struct relay_order *);
 /* The whole message; the writer is empty then.  false: no memory. */
-bool carry_write_orders(struct carry_writer *, const char *leader,
+bool relay_write_orders(struct relay_writer *, const char *leader,
     const char *address, uint64_t term, msgpack_sbuffer *out);
 
-struct carry_answer {
+struct relay_answer {
 	uint64_t number;
 	enum worker_answer answer;
 	int64_t clock_ms; /* the worker's; 0: not told */
@@ -61,28 +61,28 @@
 };
 
 /* base: the list that the leader has of the worker; NULL: none. */
-void carry_write_answer(struct carry_writer *, const struct carry_answer *,
-    const struct kept_list *base);
-bool carry_write_answers(
-    struct carry_writer *, const char *member, msgpack_sbuffer *out);
+void relay_write_answer(struct relay_writer *, const struct relay_answer *,
+    const struct running_list *base);
+bool relay_write_answers(
+    struct relay_writer *, const char *member, msgpack_sbuffer *out);
 
 /*
  * Reading.  What the callbacks are given is theirs during the call only.
  * false: the message is damaged or of another version, which is counted; what
  * came before the damage has been handed on.
  */
-struct carry_reader {
+struct relay_reader {
 	void (*order)(const char *leader, const char *address, uint64_t term,
-	    const struct carry_order *, void *ctx);
-	void (*answer)(const struct carry_answer *, void *ctx);
+	    const struct relay_order *, void *ctx);
+	void (*answer)(const struct relay_answer *, void *ctx);
 	/* The list of that look; NULL: the answer can't be used. */
-	const struct kept_list *(*base)(
+	const struct running_list *(*base)(
 	    const char *worker, uint64_t number, void *ctx);
 	void *ctx;
 };
-bool carry_read(const void *data, size_t len, const struct carry_reader *);
+bool relay_read(const void *data, size_t len, const struct relay_reader *);
 /* Messages of other kinds are objects of JSON, which begin otherwise. */
-bool carry_is_message(const void *data, size_t len);
-bool carry_is_orders(const void *data, size_t len);
+bool relay_is_message(const void *data, size_t len);
+bool relay_is_orders(const void *data, size_t len);
 
 #endif /* CARRYWIRE_H */
--- a/entry/carrywire_int.h
+++ b/entry/carrywire_int.h
@@ -4,7 +4,7 @@
 /* The form of the messages of carrywire.h; for their two files alone. */
 
 /* What a message holds. */
-enum carry_type { CARRY_ORDERS = 1, CARRY_ANSWERS };
+enum relay_type { RELAY_ORDERS = 1, RELAY_ANSWERS };
 
 /* Items of the arrays. */
 #define ORDERS_ITEMS 6 /* version, type, leader, address, term, orders */
@@ -14,11 +14,11 @@
 #define START_ITEMS (ORDER_ITEMS + TASK_ITEMS + 3)
 #define STOP_ITEMS (ORDER_ITEMS + TASK_ITEMS)
 #define PACE_ITEMS (ORDER_ITEMS + TASK_ITEMS + 1)
-#define LOOK_ITEMS (ORDER_ITEMS + 4)
+#define POLL_ITEMS (ORDER_ITEMS + 4)
 #define ANSWER_ITEMS 3 /* number, answer, the worker's clock */
-#define LISTS_ITEMS (ANSWER_ITEMS + 4) /* worker, base, running, finished */
-#define KNOWN_ITEMS 3 /* place in the base, percent, figure */
-#define MOVED_ITEMS (KNOWN_ITEMS + 1) /* and its new checkpoint */
+#define POLL_ANSWER_ITEMS (ANSWER_ITEMS + 4) /* worker, base, running, finished */
+#define DELTA_ITEMS 3 /* place in the base, percent, figure */
+#define DELTA_CHECKPOINT_ITEMS (DELTA_ITEMS + 1) /* and its new checkpoint */
 #define RUNNING_ITEMS (TASK_ITEMS + 3) /* checkpoint, percent, figure */
 #define FINISHED_ITEMS (1 + TASK_ITEMS + 2) /* number; how, checkpoint */
 /* More in one message are refused. */
--- a/entry/election.c
+++ b/entry/election.c
@@ -59,7 +59,7 @@
 }
 
 void
-election_read(struct elect *e, void *ctx)
+election_read_record(struct elect *e, void *ctx)
 {
 	struct reading *reading;
 	struct node *node;
@@ -113,7 +113,7 @@
 }
 
 void
-election_take(struct elect *e, uint64_t term, int64_t revision, void *ctx)
+election_write_record(struct elect *e, uint64_t term, int64_t revision, void *ctx)
 {
 	struct kv_compare compare;
 	struct kv_txn txn;
--- a/entry/keptlist.c
+++ b/entry/keptlist.c
@@ -7,69 +7,69 @@
 #define KEEP_MS 10000
 
 static int
-kept_cmp(struct kept_list *a, struct kept_list *b)
+kept_cmp(struct running_list *a, struct running_list *b)
 {
 	return strcmp(a->worker, b->worker);
 }
 
-RB_PROTOTYPE(kept_lists, kept_list, by_worker, kept_cmp)
-RB_GENERATE(kept_lists, kept_list, by_worker, kept_cmp)
+RB_PROTOTYPE(running_lists, running_list, by_worker, kept_cmp)
+RB_GENERATE(running_lists, running_list, by_worker, kept_cmp)
 
 void
-kept_init(struct kept_lists *lists)
+running_lists_init(struct running_lists *lists)
 {
 	RB_INIT(lists);
 }
 
 static void
-list_free(struct kept_lists *lists, struct kept_list *list)
+list_free(struct running_lists *lists, struct running_list *list)
 {
-	RB_REMOVE(kept_lists, lists, list);
+	RB_REMOVE(running_lists, lists, list);
 	free(list->rows);
 	free(list->texts);
 	free(list);
 }
 
 void
-kept_free(struct kept_lists *lists)
+running_lists_free(struct running_lists *lists)
 {
-	struct kept_list *list;
+	struct running_list *list;
 
-	while ((list = RB_MIN(kept_lists, lists)) != NULL)
+	while ((list = RB_MIN(running_lists, lists)) != NULL)
 		list_free(lists, list);
 }
 
-static struct kept_list *
-list_of(struct kept_lists *lists, const char *worker)
+static struct running_list *
+list_of(struct running_lists *lists, const char *worker)
 {
-	struct kept_list key;
+	struct running_list key;
 
 	strlcpy(key.worker, worker, sizeof(key.worker));
-	return RB_FIND(kept_lists, lists, &key);
+	return RB_FIND(running_lists, lists, &key);
 }
 
-const struct kept_list *
-kept_find(struct kept_lists *lists, const char *worker, uint64_t number)
+const struct running_list *
+running_list_find(struct running_lists *lists, const char *worker, uint64_t number)
 {
-	const struct kept_list *list;
+	const struct running_list *list;
 
 	list = list_of(lists, worker);
 	return list != NULL && list->number == number ? list : NULL;
 }
 
 uint64_t
-kept_number(struct kept_lists *lists, const char *worker)
+running_list_number(struct running_lists *lists, const char *worker)
 {
-	const struct kept_list *list;
+	const struct running_list *list;
 
 	list = list_of(lists, worker);
 	return list != NULL ? list->number : 0;
 }
 
 void
-kept_drop(struct kept_lists *lists, const char *worker)
+running_list_remove(struct running_lists *lists, const char *worker)
 {
-	struct kept_list *list;
+	struct running_list *list;
 
 	if ((list = list_of(lists, worker)) != NULL)
 		list_free(lists, list);
@@ -77,7 +77,7 @@
 
 /* The rows with checkpoints of their own; false: no memory. */
 static bool
-copy_rows(struct kept_list *list, const struct poll_running *rows, size_t n)
+copy_rows(struct running_list *list, const struct poll_running *rows, size_t n)
 {
 	size_t i, len, size;
 	char *at;
@@ -102,10 +102,10 @@
 }
 
 void
-kept_set(struct kept_lists *lists, const char *worker, uint64_t number,
+running_list_put(struct running_lists *lists, const char *worker, uint64_t number,
     const struct poll_running *rows, size_t n, int64_t now_ms)
 {
-	struct kept_list *list, *before;
+	struct running_list *list, *before;
 
 	/* The rows may be partly those of the list that is kept until now. */
 	if ((list = calloc(1, sizeof(*list))) == NULL)
@@ -122,16 +122,16 @@
 	if ((before = list_of(lists, worker)) != NULL)
 		list_free(lists, before);
 	if (list != NULL)
-		RB_INSERT(kept_lists, lists, list);
+		RB_INSERT(running_lists, lists, list);
 }
 
 void
-kept_expire(struct kept_lists *lists, int64_t now_ms)
+running_lists_expire(struct running_lists *lists, int64_t now_ms)
 {
-	struct kept_list *list, *next;
+	struct running_list *list, *next;
 
-	for (list = RB_MIN(kept_lists, lists); list != NULL; list = next) {
-		next = RB_NEXT(kept_lists, lists, list);
+	for (list = RB_MIN(running_lists, lists); list != NULL; list = next) {
+		next = RB_NEXT(running_lists, lists, list);
 		if (now_ms - list->used_ms >= KEEP_MS)
 			list_free(lists, list);
 	}
--- a/entry/keptlist.h
+++ b/entry/keptlist.h
@@ -11,8 +11,8 @@
  * answer has to say only what changed: a row shrinks to less than a fourth.
  */
 
-struct kept_list {
-	RB_ENTRY(kept_list) by_worker;
+struct running_list {
+	RB_ENTRY(running_list) by_worker;
 	char worker[SCHED_WORKER_ID_MAX];
 	uint64_t number; /* of the look */
 	int64_t used_ms;
@@ -20,20 +20,20 @@
 	size_t n;
 	char *texts; /* of the rows' checkpoints */
 };
-RB_HEAD(kept_lists, kept_list);
+RB_HEAD(running_lists, running_list);
 
-void kept_init(struct kept_lists *);
-void kept_free(struct kept_lists *);
+void running_lists_init(struct running_lists *);
+void running_lists_free(struct running_lists *);
 /* NULL: none is kept, or it is that of another look. */
-const struct kept_list *kept_find(
-    struct kept_lists *, const char *worker, uint64_t number);
+const struct running_list *running_list_find(
+    struct running_lists *, const char *worker, uint64_t number);
 /* The number of the worker's list; 0: none is kept. */
-uint64_t kept_number(struct kept_lists *, const char *worker);
+uint64_t running_list_number(struct running_lists *, const char *worker);
 /* The rows are copied.  Without memory none is kept. */
-void kept_set(struct kept_lists *, const char *worker, uint64_t number,
+void running_list_put(struct running_lists *, const char *worker, uint64_t number,
     const struct poll_running *, size_t n, int64_t now_ms);
-void kept_drop(struct kept_lists *, const char *worker);
+void running_list_remove(struct running_lists *, const char *worker);
 /* Forget lists of workers that weren't asked for long. */
-void kept_expire(struct kept_lists *, int64_t now_ms);
+void running_lists_expire(struct running_lists *, int64_t now_ms);
 
 #endif /* KEPTLIST_H */
--- a/entry/lead.c
+++ b/entry/lead.c
@@ -180,13 +180,13 @@
 	options.actions = &lead_sched_actions;
 	options.ctx = l;
 	l->sched = sched_open(&options);
-	l->carry = carry_open(node, lead_late_ends, l);
+	l->order_relay = relay_open(node, lead_late_ends, l);
 	outbox_init(&l->outbox, &node->link);
-	if (l->sched == NULL || l->carry == NULL)
+	if (l->sched == NULL || l->order_relay == NULL)
 		goto fail;
 	if (options.former_ms == 0)
 		l->settled_revision = node->elect.leader.revision;
-	carry_ops(l->carry, &l->workers);
+	relay_worker_ops(l->order_relay, &l->workers);
 	take_learnt(l, l->node->learnt);
 	TAILQ_FOREACH (member, &node->members, link)
 		member->heard_ms = l->opened_ms;
@@ -201,8 +201,8 @@
 fail:
 	if (l->sched != NULL)
 		sched_close(l->sched);
-	if (l->carry != NULL)
-		carry_close(l->carry);
+	if (l->order_relay != NULL)
+		relay_close(l->order_relay);
 	free(l);
 	return NULL;
 }
@@ -232,8 +232,8 @@
 		free(job->data);
 		job->data = NULL;
 	}
-	carry_close(l->carry);
-	l->carry = NULL;
+	relay_close(l->order_relay);
+	l->order_relay = NULL;
 	sched_close(l->sched);
 	l->sched = NULL;
 	uv_timer_stop(&l->timer);
@@ -291,7 +291,7 @@
 set_budget(struct lead *l, int64_t now_ms)
 {
 	l->sched->starts_allowed =
-	    outbox_start_budget(&l->outbox, carry_gathered(l->carry), now_ms);
+	    outbox_start_budget(&l->outbox, relay_pending_bytes(l->order_relay), now_ms);
 	l->sched->link_full = l->outbox.full;
 }
 
@@ -301,12 +301,12 @@
 {
 	int64_t due_ms;
 
-	if (carry_gathered(l->carry) == 0)
+	if (relay_pending_bytes(l->order_relay) == 0)
 		return INT64_MAX;
 	due_ms = outbox_flush_ms(&l->outbox);
 	if (now_ms < due_ms)
 		return due_ms;
-	carry_flush(l->carry);
+	relay_flush(l->order_relay);
 	outbox_flushed(&l->outbox, now_ms);
 	return INT64_MAX;
 }
@@ -379,8 +379,8 @@
 		return;
 	}
 	check_frozen(l, now_ms);
-	carry_use(l->carry, count_workers(l) >= CARRY_WORKERS);
-	carry_tick(l->carry, now_ms);
+	relay_enable(l->order_relay, count_workers(l) >= CARRY_WORKERS);
+	relay_tick(l->order_relay, now_ms);
 	save_tick(l, now_ms);
 	fleet_tick(l, now_ms);
 	sweep_tick(l, now_ms);
@@ -393,7 +393,7 @@
 {
 	if (l == NULL || l->closed || !l->ready)
 		return;
-	carry_answered(l->carry, message, len);
+	relay_handle_answers(l->order_relay, message, len);
 	lead_wakeup(l);
 }
 
@@ -401,7 +401,7 @@
 lead_members(struct lead *l)
 {
 	if (l != NULL && !l->closed)
-		carry_members(l->carry);
+		relay_update_members(l->order_relay);
 }
 
 bool
--- a/entry/lead_int.h
+++ b/entry/lead_int.h
@@ -59,7 +59,7 @@
 struct lead {
 	struct node *node;
 	struct sched *sched;
-	struct carry *carry;
+	struct order_relay *order_relay;
 	struct outbox outbox; /* of orders that members carry */
 	struct worker_ops workers; /* by members, or directly */
 	uv_timer_t timer;
--- a/entry/lead_request.c
+++ b/entry/lead_request.c
@@ -25,7 +25,7 @@
 
 struct lookup {
 	struct lead *lead;
-	enum ask_kind kind;
+	enum leader_request_kind kind;
 	char job[GRAPH_ID_MAX];
 	uint64_t number;
 	char from[ELECT_ID_MAX];
@@ -77,11 +77,11 @@
 	struct lead *l;
 
 	l = lookup->lead;
-	if (lookup->kind == ASK_STATE) {
+	if (lookup->kind == LEADER_REQUEST_STATE) {
 		answer(lookup, NODE_STATE, sched_job_visible_state(job));
 		return;
 	}
-	if (lookup->kind == ASK_JOB) {
+	if (lookup->kind == LEADER_REQUEST_JOB) {
 		answer(lookup, NODE_ACCEPTED, job->state);
 		return;
 	}
@@ -280,7 +280,7 @@
 	strlcpy(unknown->id, id, sizeof(unknown->id));
 	LIST_INSERT_HEAD(&l->unknowns, unknown, link);
 	lookup->lead = l;
-	lookup->kind = ASK_STATE;
+	lookup->kind = LEADER_REQUEST_STATE;
 	strlcpy(lookup->job, id, sizeof(lookup->job));
 	lookup->worker_asks = true;
 	lookup->answered = on_unknown_answered;
@@ -288,7 +288,7 @@
 }
 
 void
-lead_request(struct lead *l, enum ask_kind kind, const char *id,
+lead_request(struct lead *l, enum leader_request_kind kind, const char *id,
     const struct stored_job *stored, uint64_t number, const char *from,
     lead_answered *answered, void *ctx)
 {
@@ -297,7 +297,7 @@
 
 	if (!l->ready)
 		return; /* asked again in a moment */
-	if (kind == ASK_STORE) {
+	if (kind == LEADER_REQUEST_STORE) {
 		store_for(l, id, stored, number, from, answered, ctx);
 		return;
 	}
@@ -310,7 +310,7 @@
 	local.answered = answered;
 	local.ctx = ctx;
 	job = known_job(l, id);
-	if (job == NULL && kind == ASK_JOB && is_new(l, stored)) {
+	if (job == NULL && kind == LEADER_REQUEST_JOB && is_new(l, stored)) {
 		job = lead_add_job(l, id, stored, false);
 		lead_wakeup(l);
 	}
--- a/entry/members.c
+++ b/entry/members.c
@@ -89,7 +89,7 @@
 static void
 member_free(struct member *member)
 {
-	carry_writer_free(&member->orders);
+	relay_writer_free(&member->orders);
 	free(member);
 }
 
@@ -200,7 +200,7 @@
 	strlcpy(member->id, id, sizeof(member->id));
 	strlcpy(member->address, address, sizeof(member->address));
 	member->power = power;
-	carry_writer_init(&member->orders);
+	relay_writer_init(&member->orders);
 	insert_member(node, member);
 	node->members_version++;
 	lead_members(node->lead);
@@ -271,13 +271,13 @@
 	}
 	node->hello_ms = 0;
 	node->heartbeat_ms = 0;
-	asks_leader_changed(node);
+	leader_requests_leader_changed(node);
 }
 
 const struct elect_actions node_elect_actions = {
 	ask_members,
-	election_read,
-	election_take,
+	election_read_record,
+	election_write_record,
 	on_changed,
 };
 
@@ -313,7 +313,7 @@
 	member->term = (uint64_t)number_of(message, "term");
 	member->leaving = json_is_true(json_object_get(message, "leaving"));
 	member->has_store = json_is_true(json_object_get(message, "store"));
-	member->carries = number_of(message, "carries") == CARRY_VERSION;
+	member->can_relay = number_of(message, "carries") == RELAY_VERSION;
 	member->listed = (uint64_t)number_of(message, "listed");
 	set_data_center(node, member, text_of(message, "data_center"));
 }
@@ -334,8 +334,8 @@
 	if (data_center != NULL)
 		strlcpy(member->data_center, data_center,
 		    sizeof(member->data_center));
-	member->carries =
-	    json_integer_value(json_array_get(row, 4)) == CARRY_VERSION;
+	member->can_relay =
+	    json_integer_value(json_array_get(row, 4)) == RELAY_VERSION;
 }
 
 static void
@@ -408,8 +408,8 @@
 	list = json_object_get(message, "list");
 	if (members_valid(list)) {
 		read_members(node, list);
-		node->list_seen = (uint64_t)number_of(message, "listed");
-		node->list_term = leader.term;
+		node->members_list_version = (uint64_t)number_of(message, "listed");
+		node->members_list_term = leader.term;
 	}
 	config = number_of(message, "config");
 	if (config > node->peer_config_version)
@@ -479,8 +479,8 @@
 static void
 on_carried(struct node *node, const void *data, size_t len)
 {
-	if (carry_is_orders(data, len))
-		carry_orders(node, data, len);
+	if (relay_is_orders(data, len))
+		relay_handle_orders(node, data, len);
 	else
 		lead_carried(node->lead, data, len);
 }
@@ -496,7 +496,7 @@
 	node = ctx;
 	if (node->closing)
 		return;
-	if (carry_is_message(data, len)) {
+	if (relay_is_message(data, len)) {
 		on_carried(node, data, len);
 		return;
 	}
@@ -517,9 +517,9 @@
 	else if (strcmp(type, "vote") == 0)
 		on_vote(node, message);
 	else if (strcmp(type, "request") == 0)
-		asks_request(node, message);
+		leader_requests_handle_request(node, message);
 	else if (strcmp(type, "answer") == 0)
-		asks_answered(node, message);
+		leader_requests_handle_answer(node, message);
 	else if (strcmp(type, "orders") == 0 || strcmp(type, "answers") == 0)
 		counter_reason("lagoonpin_peer_refused", "older_version");
 	else
@@ -538,12 +538,12 @@
 	list = json_array();
 	json_array_append_new(list,
 	    json_pack("[ssfsi]", node->id, node->address, node->opt.power,
-		node->opt.data_center, CARRY_VERSION));
+		node->opt.data_center, RELAY_VERSION));
 	TAILQ_FOREACH (member, &node->members, link) {
 		json_array_append_new(list,
 		    json_pack("[ssfsi]", member->id, member->address,
 			member->power, member->data_center,
-			member->carries ? CARRY_VERSION : 0));
+			member->can_relay ? RELAY_VERSION : 0));
 	}
 	return list;
 }
@@ -638,7 +638,7 @@
 	common = common_beat(node, now_ms, n > 0 ? n - 1 : 0);
 	list = list_members(node);
 	learnt = NULL;
-	if (node->beats++ % LEARNT_EVERY == LEARNT_EVERY - 1)
+	if (node->heartbeats_sent++ % LEARNT_EVERY == LEARNT_EVERY - 1)
 		learnt = lead_learnt(node->lead);
 	rank = 0;
 	TAILQ_FOREACH (member, &node->members, link) {
@@ -670,9 +670,9 @@
 		node->id, "data_center", node->opt.data_center, "address",
 		node->address, "power", node->opt.power, "term",
 		(json_int_t)leader->term, "config",
-		(json_int_t)node->config_version, "carries", CARRY_VERSION,
+		(json_int_t)node->config_version, "carries", RELAY_VERSION,
 		"listed",
-		(json_int_t)(node->list_term == leader->term ? node->list_seen :
+		(json_int_t)(node->members_list_term == leader->term ? node->members_list_version :
 							       0),
 		"leaving", (int)node->leaving, "store",
 		(int)node_has_store(node)));
--- a/entry/node.c
+++ b/entry/node.c
@@ -41,7 +41,7 @@
 	node->incarnation = (uint64_t)clock_wall_ms();
 	TAILQ_INIT(&node->leader_requests);
 	TAILQ_INIT(&node->answers);
-	kept_init(&node->lists);
+	running_lists_init(&node->lists);
 	pacer_init(&node->link, LINK_SHARE * options->link_bytes_per_s,
 	    LINK_BURST_MS, clock_now_ms());
 	refused_init(&node->refused, "lagoonpin_record_refused");
@@ -187,7 +187,7 @@
 		lead_tick(node->lead, now_ms);
 	if (node->lead != NULL)
 		check_outranked(node, now_ms);
-	asks_tick(node, now_ms);
+	leader_requests_tick(node, now_ms);
 	accept_tick(node->accept, now_ms);
 	leave_tick(node, now_ms);
 }
@@ -219,9 +219,9 @@
 	if (node->lead != NULL)
 		lead_close(node->lead);
 	node->lead = NULL;
-	asks_close(node);
+	leader_requests_close(node);
 	accept_close(node->accept);
-	carry_drop(node);
+	relay_free_answers(node);
 	members_close(node);
 	json_decref(node->pending);
 	node->pending = NULL;
@@ -253,7 +253,7 @@
 
 	node = timer->data;
 	if (!node->closing)
-		carry_reply(node);
+		relay_send_answers(node);
 }
 
 void
--- a/entry/node_int.h
+++ b/entry/node_int.h
@@ -51,16 +51,16 @@
 	bool has_store; /* the store answers it */
 	char data_center[GRAPH_NAME_MAX];
 	int64_t
-	    rest_until_ms; /* it lost an order: it carries none until then */
-	bool carries; /* it reads orders of our version */
-	struct carry_writer orders; /* gathered for it */
+	    avoid_until_ms; /* it lost an order: it carries none until then */
+	bool can_relay; /* it reads orders of our version */
+	struct relay_writer orders; /* gathered for it */
 	uint64_t listed; /* the list of members that it has */
 	int64_t list_sent_ms;
 };
 TAILQ_HEAD(members, member);
 
 /* A request of a caller on its way to the leader. */
-enum ask_kind { ASK_STATE, ASK_CANCEL, ASK_JOB, ASK_STORE };
+enum leader_request_kind { LEADER_REQUEST_STATE, LEADER_REQUEST_CANCEL, LEADER_REQUEST_JOB, LEADER_REQUEST_STORE };
 
 /* A job as it was stored. */
 struct stored_job {
@@ -73,11 +73,11 @@
 	TAILQ_ENTRY(leader_request) link;
 	struct node *node;
 	uint64_t number;
-	enum ask_kind kind;
+	enum leader_request_kind kind;
 	char job[GRAPH_ID_MAX];
-	char *body; /* of ASK_JOB and ASK_STORE: the job's text */
+	char *body; /* of LEADER_REQUEST_JOB and LEADER_REQUEST_STORE: the job's text */
 	size_t body_len;
-	int64_t revision; /* of ASK_JOB: when it was stored */
+	int64_t revision; /* of LEADER_REQUEST_JOB: when it was stored */
 	int64_t created_ms;
 	int64_t deadline_ms;
 	int64_t resend_ms;
@@ -111,17 +111,17 @@
 	struct elect elect;
 	struct members members; /* as leader: heard; else: as it told us */
 	uint64_t members_version;
-	uint64_t list_seen; /* as member: the version of the last list, */
-	uint64_t list_term; /* of that term's leader */
-	uint64_t beats;
+	uint64_t members_list_version; /* as member: the version of the last list, */
+	uint64_t members_list_term; /* of that term's leader */
+	uint64_t heartbeats_sent;
 	struct leader_requests leader_requests;
-	uint64_t next_ask;
+	uint64_t next_request;
 	int64_t hello_ms;
 	int64_t heartbeat_ms;
 	struct lead *lead; /* NULL: not leading */
 	struct accept *accept;
 	struct answers_list answers; /* of workers, for leaders */
-	struct kept_lists lists; /* of workers, as leaders were told */
+	struct running_lists lists; /* of workers, as leaders were told */
 	struct pacer link; /* what our link can still take */
 	struct refused refused; /* other writers' entries in our place */
 	uv_timer_t reply_timer;
@@ -159,13 +159,13 @@
 struct member *member_get(struct node *, const char *id);
 
 /* asks.c: requests to the leader */
-void asks_tick(struct node *, int64_t now_ms);
-void asks_answered(struct node *, const json_t *message);
-void asks_request(struct node *, const json_t *message);
-void asks_leader_changed(struct node *);
-struct leader_request *ask_new(struct node *, enum ask_kind, const char *job,
+void leader_requests_tick(struct node *, int64_t now_ms);
+void leader_requests_handle_answer(struct node *, const json_t *message);
+void leader_requests_handle_request(struct node *, const json_t *message);
+void leader_requests_leader_changed(struct node *);
+struct leader_request *leader_request_new(struct node *, enum leader_request_kind, const char *job,
     int64_t deadline_ms, node_replied *, void *ctx);
-void asks_close(struct node *);
+void leader_requests_close(struct node *);
 
 /* accept.c: new jobs into the store */
 struct accept *accept_open(struct node *);
@@ -186,8 +186,8 @@
 bool node_queue_full(const struct node *, const char *queue, int64_t now_ms);
 
 /* election.c: the leader's record in the store */
-void election_read(struct elect *, void *ctx);
-void election_take(struct elect *, uint64_t term, int64_t revision, void *);
+void election_read_record(struct elect *, void *ctx);
+void election_write_record(struct elect *, uint64_t term, int64_t revision, void *);
 
 /* lead.c: what the leader does */
 struct lead *lead_open(struct node *);
@@ -209,7 +209,7 @@
 typedef void lead_answered(
     const struct node_reply *, uint64_t number, const char *from, void *ctx);
 /* from and number are given back with the answer. */
-void lead_request(struct lead *, enum ask_kind, const char *id,
+void lead_request(struct lead *, enum leader_request_kind, const char *id,
     const struct stored_job *, uint64_t number, const char *from,
     lead_answered *, void *ctx);
 /* Answers for a leader wait: send them after so long. */
--- a/tests/test_carry.cc
+++ b/tests/test_carry.cc
@@ -38,9 +38,9 @@
 		node_.elect.leader.term = 7;
 		strlcpy(member_.id, "entry-2", sizeof(member_.id));
 		member_.power = 1;
-		member_.carries = true;
+		member_.can_relay = true;
 		member_.heard_ms = kNow;
-		carry_writer_init(&member_.orders);
+		relay_writer_init(&member_.orders);
 		TAILQ_INSERT_TAIL(&node_.members, &member_, link);
 		strlcpy(worker_.id, "worker-1", sizeof(worker_.id));
 		strlcpy(
@@ -51,17 +51,17 @@
 	void
 	TearDown() override
 	{
-		carry_close(carry_);
-		carry_writer_free(&member_.orders);
+		relay_close(carry_);
+		relay_writer_free(&member_.orders);
 		clock_resume();
 	}
 
 	void
 	Open()
 	{
-		carry_ = carry_open(&node_, OnLate, nullptr);
-		carry_use(carry_, true);
-		carry_ops(carry_, &ops_);
+		carry_ = relay_open(&node_, OnLate, nullptr);
+		relay_enable(carry_, true);
+		relay_worker_ops(carry_, &ops_);
 	}
 
 	void
@@ -78,21 +78,21 @@
 	struct member member_ = {};
 	struct sched_worker worker_ = {};
 	struct worker_ops ops_ = {};
-	struct carry *carry_ = nullptr;
+	struct order_relay *carry_ = nullptr;
 };
 
 } // namespace
 
 TEST_F(Carry, GatheredOrdersAreCountedUntilTheyAreSent)
 {
-	EXPECT_EQ(carry_gathered(carry_), 0);
+	EXPECT_EQ(relay_pending_bytes(carry_), 0);
 	Look();
-	double one = carry_gathered(carry_);
+	double one = relay_pending_bytes(carry_);
 	EXPECT_GT(one, FRAME_BYTES);
 	Look();
-	EXPECT_GT(carry_gathered(carry_), one);
+	EXPECT_GT(relay_pending_bytes(carry_), one);
 	// The second shares the message of the first.
-	EXPECT_LT(carry_gathered(carry_), 2 * one);
+	EXPECT_LT(relay_pending_bytes(carry_), 2 * one);
 }
 
 // A caller's task would run twice: a start that was gathered in one term of
@@ -103,10 +103,10 @@
 {
 	Look();
 	EXPECT_EQ(member_.orders.n, 1u);
-	carry_close(carry_);
+	relay_close(carry_);
 	EXPECT_EQ(lost, 1);
 	node_.elect.leader.term++;
 	Open();
 	EXPECT_EQ(member_.orders.n, 0u);
-	EXPECT_EQ(carry_gathered(carry_), 0);
+	EXPECT_EQ(relay_pending_bytes(carry_), 0);
 }
--- a/tests/test_carrywire.cc
+++ b/tests/test_carrywire.cc
@@ -20,13 +20,13 @@
 namespace {
 
 struct Order {
-	struct carry_order order;
+	struct relay_order order;
 	std::string worker, checkpoint, payload;
 	uint64_t term;
 };
 
 struct Answer {
-	struct carry_answer answer;
+	struct relay_answer answer;
 	std::string worker;
 	std::vector<struct poll_running> running;
 	std::vector<std::string> checkpoints;
@@ -39,9 +39,9 @@
 	void
 	SetUp() override
 	{
-		carry_writer_init(&writer);
-		kept_init(&leader);
-		kept_init(&member);
+		relay_writer_init(&writer);
+		running_lists_init(&leader);
+		running_lists_init(&member);
 		msgpack_sbuffer_init(&message);
 		reader = { OnOrder, OnAnswer, Base, this };
 	}
@@ -49,15 +49,15 @@
 	void
 	TearDown() override
 	{
-		carry_writer_free(&writer);
-		kept_free(&leader);
-		kept_free(&member);
+		relay_writer_free(&writer);
+		running_lists_free(&leader);
+		running_lists_free(&member);
 		msgpack_sbuffer_destroy(&message);
 	}
 
 	static void
 	OnOrder(const char *, const char *, uint64_t term,
-	    const struct carry_order *order, void *ctx)
+	    const struct relay_order *order, void *ctx)
 	{
 		auto self = static_cast<CarryWire *>(ctx);
 
@@ -67,7 +67,7 @@
 	}
 
 	static void
-	OnAnswer(const struct carry_answer *answer, void *ctx)
+	OnAnswer(const struct relay_answer *answer, void *ctx)
 	{
 		auto self = static_cast<CarryWire *>(ctx);
 		Answer got;
@@ -83,17 +83,17 @@
 			got.finished.assign(
 			    look->finished, look->finished + look->nfinished);
 			if (answer->answer == ANSWER_OK)
-				kept_set(&self->leader, answer->worker,
+				running_list_put(&self->leader, answer->worker,
 				    answer->number, look->running,
 				    look->nrunning, 0);
 		}
 		self->answers.push_back(got);
 	}
 
-	static const struct kept_list *
+	static const struct running_list *
 	Base(const char *worker, uint64_t number, void *ctx)
 	{
-		return kept_find(
+		return running_list_find(
 		    &static_cast<CarryWire *>(ctx)->leader, worker, number);
 	}
 
@@ -122,16 +122,16 @@
 	{
 		struct poll_result look = { 100, rows.data(), rows.size(),
 			ends.data(), ends.size() };
-		struct carry_answer answer;
+		struct relay_answer answer;
 
 		memset(&answer, 0, sizeof(answer));
 		answer.number = number;
 		answer.clock_ms = 100;
 		answer.worker = "i-1";
 		answer.look = &look;
-		carry_write_answer(&writer, &answer,
-		    base != 0 ? kept_find(&member, "i-1", base) : nullptr);
-		kept_set(&member, "i-1", number, rows.data(), rows.size(), 0);
+		relay_write_answer(&writer, &answer,
+		    base != 0 ? running_list_find(&member, "i-1", base) : nullptr);
+		running_list_put(&member, "i-1", number, rows.data(), rows.size(), 0);
 	}
 
 	// Bytes of the message; it is read unless it is lost on its way.
@@ -139,15 +139,15 @@
 	Send(bool lost = false)
 	{
 		msgpack_sbuffer_clear(&message);
-		EXPECT_TRUE(carry_write_answers(&writer, "e2", &message));
+		EXPECT_TRUE(relay_write_answers(&writer, "e2", &message));
 		EXPECT_TRUE(
-		    lost || carry_read(message.data, message.size, &reader));
+		    lost || relay_read(message.data, message.size, &reader));
 		return message.size;
 	}
 
-	struct carry_writer writer;
-	struct carry_reader reader;
-	struct kept_lists leader, member;
+	struct relay_writer writer;
+	struct relay_reader reader;
+	struct running_lists leader, member;
 	msgpack_sbuffer message;
 	std::vector<Order> orders;
 	std::vector<Answer> answers;
@@ -157,10 +157,10 @@
 
 TEST_F(CarryWire, OrdersAreReadAsTheyWereWritten)
 {
-	struct carry_order order;
+	struct relay_order order;
 
 	memset(&order, 0, sizeof(order));
-	order.kind = CARRY_START;
+	order.kind = RELAY_START;
 	order.worker = "i-1";
 	order.address = "10.1.2.3:8080";
 	strlcpy(order.task.job, "5c0e", sizeof(order.task.job));
@@ -169,29 +169,29 @@
 	order.payload = "do it";
 	order.deadline_ms = 486000;
 	order.number = 11;
-	carry_write_order(&writer, &order);
+	relay_write_order(&writer, &order);
 	order.task.index = 18;
 	order.checkpoint = "0b";
 	order.number = 12;
-	carry_write_order(&writer, &order);
+	relay_write_order(&writer, &order);
 	order.payload = "another";
 	order.number = 13;
-	carry_write_order(&writer, &order);
-	order.kind = CARRY_LOOK;
+	relay_write_order(&writer, &order);
+	order.kind = RELAY_POLL;
 	order.acknowledged = 57;
 	order.wait_ms = 1000;
 	order.base = 9;
-	carry_write_order(&writer, &order);
-	order.kind = CARRY_PACE;
+	relay_write_order(&writer, &order);
+	order.kind = RELAY_PACE;
 	order.percent = 40;
-	carry_write_order(&writer, &order);
-	order.kind = CARRY_STOP;
-	carry_write_order(&writer, &order);
+	relay_write_order(&writer, &order);
+	order.kind = RELAY_STOP;
+	relay_write_order(&writer, &order);
 	ASSERT_TRUE(
-	    carry_write_orders(&writer, "e1", "10.0.0.1:1", 7, &message));
-	EXPECT_TRUE(carry_is_message(message.data, message.size));
-	EXPECT_TRUE(carry_is_orders(message.data, message.size));
-	ASSERT_TRUE(carry_read(message.data, message.size, &reader));
+	    relay_write_orders(&writer, "e1", "10.0.0.1:1", 7, &message));
+	EXPECT_TRUE(relay_is_message(message.data, message.size));
+	EXPECT_TRUE(relay_is_orders(message.data, message.size));
+	ASSERT_TRUE(relay_read(message.data, message.size, &reader));
 	ASSERT_EQ(orders.size(), 6u);
 	EXPECT_EQ(orders[0].payload, "do it");
 	EXPECT_EQ(orders[0].order.checkpoint, nullptr);
@@ -205,7 +205,7 @@
 	EXPECT_EQ(orders[3].order.wait_ms, 1000);
 	EXPECT_EQ(orders[3].order.acknowledged, 57u);
 	EXPECT_EQ(orders[4].order.percent, 40);
-	EXPECT_EQ(orders[5].order.kind, CARRY_STOP);
+	EXPECT_EQ(orders[5].order.kind, RELAY_STOP);
 	EXPECT_EQ(writer.n, 0u);
 }
 
@@ -255,7 +255,7 @@
 	Send();
 	WriteLook(2, 1, { Row(2, "b", 5, 5) });
 	Send(true);
-	ASSERT_EQ(kept_number(&leader, "i-1"), 1u);
+	ASSERT_EQ(running_list_number(&leader, "i-1"), 1u);
 	WriteLook(3, 1, { Row(2, "b", 6, 6) });
 	Send();
 	ASSERT_EQ(answers.size(), 2u);
@@ -277,7 +277,7 @@
 	WriteLook(1, 0, { Row(1, "a", 1, 1) });
 	Send();
 	WriteLook(2, 1, { Row(1, "a", 2, 2) }, { end });
-	kept_drop(&leader, "i-1");
+	running_list_remove(&leader, "i-1");
 	Send();
 	ASSERT_EQ(answers.size(), 2u);
 	EXPECT_EQ(answers[1].answer.answer, ANSWER_LOST);
@@ -289,27 +289,27 @@
 TEST_F(CarryWire, AnotherVersionIsRefused)
 {
 	WriteLook(1, 0, { Row(1, "a", 1, 1) });
-	ASSERT_TRUE(carry_write_answers(&writer, "e2", &message));
+	ASSERT_TRUE(relay_write_answers(&writer, "e2", &message));
 	message.data[1]++;
-	EXPECT_FALSE(carry_read(message.data, message.size, &reader));
+	EXPECT_FALSE(relay_read(message.data, message.size, &reader));
 	EXPECT_TRUE(answers.empty());
-	EXPECT_FALSE(carry_is_message("{\"t\":\"beat\"}", 12));
+	EXPECT_FALSE(relay_is_message("{\"t\":\"beat\"}", 12));
 }
 
 TEST_F(CarryWire, NoBytesEndTheProcess)
 {
-	struct carry_order order;
+	struct relay_order order;
 	std::mt19937 random(6);
 	std::string orders_text, answers_text;
 
 	memset(&order, 0, sizeof(order));
-	order.kind = CARRY_START;
+	order.kind = RELAY_START;
 	order.worker = "i-1";
 	order.address = "10.1.2.3:8080";
 	order.payload = "do it";
-	carry_write_order(&writer, &order);
-	carry_write_order(&writer, &order);
-	ASSERT_TRUE(carry_write_orders(&writer, "e1", "a", 7, &message));
+	relay_write_order(&writer, &order);
+	relay_write_order(&writer, &order);
+	ASSERT_TRUE(relay_write_orders(&writer, "e1", "a", 7, &message));
 	orders_text.assign(message.data, message.size);
 	WriteLook(1, 0, { Row(1, "a", 1, 1), Row(2, "b", 2, 2) });
 	Send();
@@ -323,7 +323,7 @@
 			    static_cast<char>(random());
 		if (random() % 4 == 0)
 			text.resize(random() % text.size());
-		carry_read(text.data(), text.size(), &reader);
+		relay_read(text.data(), text.size(), &reader);
 		orders.clear();
 		answers.clear();
 	}
