--- a/lagoonpind/main.c
+++ b/lagoonpind/main.c
@@ -38,7 +38,7 @@
 	static struct entry entry;
 	struct entry *e;
 
-	if (platform_wanted())
+	if (platform_is_configured())
 		return platform_run();
 	e = &entry;
 	options_parse(&e->opt, argc, argv);
--- a/tests/test_foreign.cc
+++ b/tests/test_foreign.cc
@@ -43,15 +43,15 @@
 	SetUp() override
 	{
 		counter_reset();
-		world = platform_world_open();
-		platform_world_ops(world, &ops);
+		world = platform_config_open();
+		platform_config_ops(world, &ops);
 		refused_init(&refused, "test_refused");
 	}
 
 	void
 	TearDown() override
 	{
-		platform_world_close(world);
+		platform_config_close(world);
 		refused_free(&refused);
 	}
 
@@ -83,7 +83,7 @@
 		    ("reason=\"" + reason + "\"").c_str()));
 	}
 
-	struct platform_world *world;
+	struct platform_config *world;
 	struct platform_ops ops;
 	struct refused refused;
 };
--- a/tests/test_itemset.cc
+++ b/tests/test_itemset.cc
@@ -135,9 +135,9 @@
 	Put("a", "1");
 	int64_t seen = itemset_revision(set_);
 	Put("b", "1");
-	itemset_forget(set_);
+	itemset_compact(set_);
 	EXPECT_EQ(itemset_changes(set_, seen, &error), nullptr);
-	EXPECT_EQ(error, ITEMSET_ERR_FORGOTTEN);
+	EXPECT_EQ(error, ITEMSET_ERR_COMPACTED);
 	seen = itemset_revision(set_);
 	Put("c", "1");
 	EXPECT_EQ(Changes(seen), (Keys{ "c" }));
@@ -145,20 +145,20 @@
 
 TEST_F(Itemset, WhatHangsOnALeaseGoesWithIt)
 {
-	uint64_t lease = itemset_lease(set_, 1000, 50000);
-	uint64_t other = itemset_lease(set_, 5000, 50000);
+	uint64_t lease = itemset_grant_lease(set_, 1000, 50000);
+	uint64_t other = itemset_grant_lease(set_, 5000, 50000);
 
 	Put("servers/1", "", -1, lease);
 	Put("servers/2", "", -1, other);
 	int64_t seen = itemset_revision(set_);
 	EXPECT_FALSE(itemset_expire(set_, 50999));
-	EXPECT_EQ(itemset_renew(set_, lease, 50500), ITEMSET_OK);
+	EXPECT_EQ(itemset_renew_lease(set_, lease, 50500), ITEMSET_OK);
 	EXPECT_FALSE(itemset_expire(set_, 51499));
 	EXPECT_TRUE(itemset_expire(set_, 51500));
 	EXPECT_EQ(itemset_get(set_, "servers/1"), nullptr);
 	EXPECT_NE(itemset_get(set_, "servers/2"), nullptr);
 	EXPECT_EQ(Changes(seen), (Keys{ "servers/1 gone" }));
-	EXPECT_EQ(itemset_renew(set_, lease, 51500), ITEMSET_ERR_LEASE);
-	EXPECT_EQ(itemset_end_lease(set_, other), ITEMSET_OK);
+	EXPECT_EQ(itemset_renew_lease(set_, lease, 51500), ITEMSET_ERR_LEASE);
+	EXPECT_EQ(itemset_revoke_lease(set_, other), ITEMSET_OK);
 	EXPECT_EQ(itemset_get(set_, "servers/2"), nullptr);
 }
--- a/tests/test_machine.cc
+++ b/tests/test_machine.cc
@@ -86,7 +86,7 @@
 		std::vector<std::string> ends;
 
 		machine_step(machine_, now_ms);
-		machine_each_end(machine_, 500, AddEnd, &ends);
+		machine_foreach_end(machine_, 500, AddEnd, &ends);
 		return ends;
 	}
 
@@ -107,7 +107,7 @@
 	EXPECT_EQ(Ends(kNow + 1600), Rows{ "1 done 1000" });
 	EXPECT_EQ(Hold(kNow + 1700, 1), MACHINE_OK);
 	EXPECT_EQ(Ends(kNow + 1700), Rows());
-	EXPECT_EQ(machine_last_end(machine_), 0u);
+	EXPECT_EQ(machine_last_unacked_end(machine_), 0u);
 }
 
 TEST_F(Machine, AStartThatIsThereAlreadyIsAnsweredAgain)
--- a/tests/test_submit.cc
+++ b/tests/test_submit.cc
@@ -123,38 +123,38 @@
 
 TEST(World, RoutesByHostAndLongestPrefix)
 {
-	struct platform_world *w = platform_world_open();
+	struct platform_config *w = platform_config_open();
 	const struct entry_config *config;
 	struct platform_ops ops;
 	size_t len;
 
-	platform_world_ops(w, &ops);
+	platform_config_ops(w, &ops);
 	config = ops.config(ops.self, "op/config", kConfig, strlen(kConfig));
 	ASSERT_NE(config, nullptr);
 	EXPECT_EQ(config->version, 7);
-	EXPECT_EQ(platform_world_body_max(w), 1000u);
+	EXPECT_EQ(platform_config_body_max(w), 1000u);
 	EXPECT_STREQ(
-	    platform_world_route(w, "h.example:80", "/p/1", &len)->name, "a");
+	    platform_config_route(w, "h.example:80", "/p/1", &len)->name, "a");
 	EXPECT_STREQ(
-	    platform_world_route(w, "H.EXAMPLE", "/p/q/1", &len)->name, "b");
+	    platform_config_route(w, "H.EXAMPLE", "/p/q/1", &len)->name, "b");
 	EXPECT_EQ(len, strlen("/p/q/"));
-	EXPECT_EQ(platform_world_route(w, "other", "/p/1", &len), nullptr);
-	EXPECT_EQ(platform_world_route(w, "h.example", "/x", &len), nullptr);
+	EXPECT_EQ(platform_config_route(w, "other", "/p/1", &len), nullptr);
+	EXPECT_EQ(platform_config_route(w, "h.example", "/x", &len), nullptr);
 	// An older version, which a slow read may bring, changes nothing.
 	EXPECT_EQ(ops.config(ops.self, "op/config", kConfig, strlen(kConfig)),
 	    nullptr);
 	EXPECT_EQ(ops.config(ops.self, "op/wave/1", kConfig, strlen(kConfig)),
 	    nullptr);
-	platform_world_close(w);
+	platform_config_close(w);
 }
 
 TEST(World, ReadsAWorker)
 {
-	struct platform_world *w = platform_world_open();
+	struct platform_config *w = platform_config_open();
 	struct worker_info info;
 	struct platform_ops ops;
 
-	platform_world_ops(w, &ops);
+	platform_config_ops(w, &ops);
 	memset(&info, 0, sizeof(info));
 	ASSERT_TRUE(ops.worker(
 	    ops.self, "servers/i-1", kWorker, strlen(kWorker), &info));
@@ -165,16 +165,16 @@
 	EXPECT_EQ(info.nlabels, 2u);
 	EXPECT_FALSE(
 	    ops.worker(ops.self, "other/i-1", kWorker, strlen(kWorker), &info));
-	platform_world_close(w);
+	platform_config_close(w);
 }
 
 TEST(World, NoBytesEndTheProcess)
 {
-	struct platform_world *w = platform_world_open();
+	struct platform_config *w = platform_config_open();
 	std::mt19937 random(2);
 	struct platform_ops ops;
 
-	platform_world_ops(w, &ops);
+	platform_config_ops(w, &ops);
 	for (int i = 0; i < 20000; i++) {
 		struct worker_info info;
 		std::string text = Mutate(random, kConfig);
@@ -184,7 +184,7 @@
 		ops.worker(
 		    ops.self, "servers/i", text.data(), text.size(), &info);
 	}
-	platform_world_close(w);
+	platform_config_close(w);
 }
 
 TEST(Codec, AJobIsReadAsItWasWritten)
