--- a/entry/accept.c
+++ b/entry/accept.c
@@ -116,8 +116,8 @@
 	int64_t now_ms;
 
 	now_ms = clock_now_ms();
-	notice =
-	    leader_request_new(a->node, LEADER_REQUEST_JOB, job->id, now_ms + NOTICE_MS, NULL, NULL);
+	notice = leader_request_new(a->node, LEADER_REQUEST_JOB, job->id,
+	    now_ms + NOTICE_MS, NULL, NULL);
 	if (notice != NULL) {
 		/* Without memory the leader's watch tells it. */
 		notice->body = job->text;
--- a/entry/election.c
+++ b/entry/election.c
@@ -113,7 +113,8 @@
 }
 
 void
-election_write_record(struct elect *e, uint64_t term, int64_t revision, void *ctx)
+election_write_record(
+    struct elect *e, uint64_t term, int64_t revision, void *ctx)
 {
 	struct kv_compare compare;
 	struct kv_txn txn;
--- a/entry/lead.c
+++ b/entry/lead.c
@@ -290,8 +290,8 @@
 static void
 set_budget(struct lead *l, int64_t now_ms)
 {
-	l->sched->starts_allowed =
-	    outbox_start_budget(&l->outbox, relay_pending_bytes(l->order_relay), now_ms);
+	l->sched->starts_allowed = outbox_start_budget(
+	    &l->outbox, relay_pending_bytes(l->order_relay), now_ms);
 	l->sched->link_full = l->outbox.full;
 }
 
--- a/entry/lead_record.c
+++ b/entry/lead_record.c
@@ -348,8 +348,8 @@
 	if (l->record_refresh_ms != 0 &&
 	    now_ms - l->record_ms >= l->record_refresh_ms)
 		l->record_dirty = true;
-	if (!l->record_dirty || l->record_in_flight || now_ms < l->record_retry_ms ||
-	    l->sched->store_away)
+	if (!l->record_dirty || l->record_in_flight ||
+	    now_ms < l->record_retry_ms || l->sched->store_away)
 		return;
 	if ((write = write_new(l, now_ms)) == NULL)
 		return;
--- a/entry/asks.c
+++ b/entry/leader_request.c
@@ -59,8 +59,8 @@
 }
 
 struct leader_request *
-leader_request_new(struct node *node, enum leader_request_kind kind, const char *job,
-    int64_t deadline_ms, node_replied *replied, void *ctx)
+leader_request_new(struct node *node, enum leader_request_kind kind,
+    const char *job, int64_t deadline_ms, node_replied *replied, void *ctx)
 {
 	struct leader_request *ask;
 
@@ -178,7 +178,8 @@
 	for (i = 0; i < sizeof(kind_names) / sizeof(kind_names[0]); i++) {
 		if (strcmp(kind, kind_names[i]) != 0)
 			continue;
-		lead_request(node->lead, (enum leader_request_kind)i, job, &stored,
+		lead_request(node->lead, (enum leader_request_kind)i, job,
+		    &stored,
 		    (uint64_t)json_integer_value(
 			json_object_get(message, "number")),
 		    from, on_leader_answer, node);
@@ -321,7 +322,8 @@
 	memset(&reply, 0, sizeof(reply));
 	reply.outcome = NODE_NO_ANSWER;
 	reply.reason = "no_leader";
-	if ((ask->kind == LEADER_REQUEST_CANCEL || ask->kind == LEADER_REQUEST_STORE) &&
+	if ((ask->kind == LEADER_REQUEST_CANCEL ||
+		ask->kind == LEADER_REQUEST_STORE) &&
 	    ask->sent == 0) {
 		reply.outcome = NODE_NOT_DONE;
 		reply.retry_after_ms = NO_LEADER_RETRY_MS;
@@ -348,7 +350,8 @@
 			send_ask(ask, now_ms);
 	}
 	TAILQ_FOREACH (ask, &node->leader_requests, link) {
-		if (!ask->dead && ask->kind == LEADER_REQUEST_STATE && !ask->reading &&
+		if (!ask->dead && ask->kind == LEADER_REQUEST_STATE &&
+		    !ask->reading &&
 		    now_ms - ask->created_ms >= STORE_AFTER_MS &&
 		    now_ms >= ask->read_ms)
 			read_store(ask);
@@ -374,7 +377,8 @@
 {
 	struct node_reply reply;
 
-	if (leader_request_new(node, kind, job, deadline_ms, replied, ctx) != NULL)
+	if (leader_request_new(node, kind, job, deadline_ms, replied, ctx) !=
+	    NULL)
 		return;
 	memset(&reply, 0, sizeof(reply));
 	reply.outcome = NODE_NOT_DONE;
@@ -387,12 +391,14 @@
 node_state(struct node *node, const char *job, int64_t deadline_ms,
     node_replied *replied, void *ctx)
 {
-	ask_or_refuse(node, LEADER_REQUEST_STATE, job, deadline_ms, replied, ctx);
+	ask_or_refuse(
+	    node, LEADER_REQUEST_STATE, job, deadline_ms, replied, ctx);
 }
 
 void
 node_cancel(struct node *node, const char *job, int64_t deadline_ms,
     node_replied *replied, void *ctx)
 {
-	ask_or_refuse(node, LEADER_REQUEST_CANCEL, job, deadline_ms, replied, ctx);
+	ask_or_refuse(
+	    node, LEADER_REQUEST_CANCEL, job, deadline_ms, replied, ctx);
 }
--- a/entry/members.c
+++ b/entry/members.c
@@ -408,7 +408,8 @@
 	list = json_object_get(message, "list");
 	if (members_valid(list)) {
 		read_members(node, list);
-		node->members_list_version = (uint64_t)number_of(message, "listed");
+		node->members_list_version =
+		    (uint64_t)number_of(message, "listed");
 		node->members_list_term = leader.term;
 	}
 	config = number_of(message, "config");
@@ -672,8 +673,9 @@
 		(json_int_t)leader->term, "config",
 		(json_int_t)node->config_version, "carries", RELAY_VERSION,
 		"listed",
-		(json_int_t)(node->members_list_term == leader->term ? node->members_list_version :
-							       0),
+		(json_int_t)(node->members_list_term == leader->term ?
+			node->members_list_version :
+			0),
 		"leaving", (int)node->leaving, "store",
 		(int)node_has_store(node)));
 }
--- a/entry/node_int.h
+++ b/entry/node_int.h
@@ -5,7 +5,7 @@
 
 #include <jansson.h>
 
-#include "carry.h"
+#include "relay.h"
 #include "codec.h"
 #include "elect.h"
 #include "node.h"
@@ -60,7 +60,12 @@
 TAILQ_HEAD(members, member);
 
 /* A request of a caller on its way to the leader. */
-enum leader_request_kind { LEADER_REQUEST_STATE, LEADER_REQUEST_CANCEL, LEADER_REQUEST_JOB, LEADER_REQUEST_STORE };
+enum leader_request_kind {
+	LEADER_REQUEST_STATE,
+	LEADER_REQUEST_CANCEL,
+	LEADER_REQUEST_JOB,
+	LEADER_REQUEST_STORE
+};
 
 /* A job as it was stored. */
 struct stored_job {
@@ -75,7 +80,8 @@
 	uint64_t number;
 	enum leader_request_kind kind;
 	char job[GRAPH_ID_MAX];
-	char *body; /* of LEADER_REQUEST_JOB and LEADER_REQUEST_STORE: the job's text */
+	char *body; /* of LEADER_REQUEST_JOB and LEADER_REQUEST_STORE: the job's
+		       text */
 	size_t body_len;
 	int64_t revision; /* of LEADER_REQUEST_JOB: when it was stored */
 	int64_t created_ms;
@@ -111,7 +117,8 @@
 	struct elect elect;
 	struct members members; /* as leader: heard; else: as it told us */
 	uint64_t members_version;
-	uint64_t members_list_version; /* as member: the version of the last list, */
+	uint64_t
+	    members_list_version; /* as member: the version of the last list, */
 	uint64_t members_list_term; /* of that term's leader */
 	uint64_t heartbeats_sent;
 	struct leader_requests leader_requests;
@@ -163,8 +170,9 @@
 void leader_requests_handle_answer(struct node *, const json_t *message);
 void leader_requests_handle_request(struct node *, const json_t *message);
 void leader_requests_leader_changed(struct node *);
-struct leader_request *leader_request_new(struct node *, enum leader_request_kind, const char *job,
-    int64_t deadline_ms, node_replied *, void *ctx);
+struct leader_request *leader_request_new(struct node *,
+    enum leader_request_kind, const char *job, int64_t deadline_ms,
+    node_replied *, void *ctx);
 void leader_requests_close(struct node *);
 
 /* accept.c: new jobs into the store */
@@ -187,7 +195,8 @@
 
 /* election.c: the leader's record in the store */
 void election_read_record(struct elect *, void *ctx);
-void election_write_record(struct elect *, uint64_t term, int64_t revision, void *);
+void election_write_record(
+    struct elect *, uint64_t term, int64_t revision, void *);
 
 /* lead.c: what the leader does */
 struct lead *lead_open(struct node *);
--- a/entry/carry.c
+++ b/entry/relay.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "carry.h"
+#include "relay.h"
 #include "clock.h"
 #include "counter.h"
 #include "log.h"
@@ -123,8 +123,8 @@
 }
 
 static void
-finish(
-    struct order_relay *c, struct carried *order, const struct worker_result *result)
+finish(struct order_relay *c, struct carried *order,
+    const struct worker_result *result)
 {
 	RB_REMOVE(carried_tree, &c->orders, order);
 	order->done(result, order->ctx);
@@ -392,8 +392,8 @@
 
 /* The member may be the one that can't reach the worker. */
 static void
-note_route(
-    struct order_relay *c, const struct carried *order, enum worker_answer answer)
+note_route(struct order_relay *c, const struct carried *order,
+    enum worker_answer answer)
 {
 	if (answer == ANSWER_LOST || answer == ANSWER_NOT_SENT)
 		route_call_lost(&c->routes, order->worker, clock_now_ms());
--- a/entry/carry.h
+++ b/entry/relay.h
@@ -1,7 +1,7 @@
-#ifndef CARRY_H
-#define CARRY_H
+#ifndef RELAY_H
+#define RELAY_H
 
-#include "carrywire.h"
+#include "relaywire.h"
 #include "seam.h"
 
 /*
@@ -37,7 +37,8 @@
 /* The members aren't those of before, or their terms. */
 void relay_update_members(struct order_relay *);
 /* A member's answers arrived. */
-void relay_handle_answers(struct order_relay *, const void *message, size_t len);
+void relay_handle_answers(
+    struct order_relay *, const void *message, size_t len);
 
 /* The member's side: orders of a leader arrived. */
 void relay_handle_orders(struct node *, const void *message, size_t len);
@@ -46,4 +47,4 @@
 /* Forget those that couldn't be sent. */
 void relay_free_answers(struct node *);
 
-#endif /* CARRY_H */
+#endif /* RELAY_H */
--- a/entry/carrier.c
+++ b/entry/relay_member.c
@@ -1,7 +1,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "carry.h"
+#include "relay.h"
 #include "clock.h"
 #include "log.h"
 #include "node_int.h"
@@ -132,11 +132,12 @@
 	lists = &call->node->lists;
 	answer.worker = call->worker;
 	answer.look = result->poll;
-	base =
-	    call->base != 0 ? running_list_find(lists, call->worker, call->base) : NULL;
+	base = call->base != 0 ?
+	    running_list_find(lists, call->worker, call->base) :
+	    NULL;
 	relay_write_answer(&answers->gathered, &answer, base);
-	running_list_put(lists, call->worker, call->number, result->poll->running,
-	    result->poll->nrunning, clock_now_ms());
+	running_list_put(lists, call->worker, call->number,
+	    result->poll->running, result->poll->nrunning, clock_now_ms());
 }
 
 static void
--- a/entry/carryread.c
+++ b/entry/relayread.c
@@ -1,8 +1,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "carrywire.h"
-#include "carrywire_int.h"
+#include "relaywire.h"
+#include "relaywire_int.h"
 #include "wire_int.h"
 
 /* Reading of the messages of carrywire.h, which another entry sent. */
--- a/entry/carrywire.c
+++ b/entry/relaywire.c
@@ -1,8 +1,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "carrywire.h"
-#include "carrywire_int.h"
+#include "relaywire.h"
+#include "relaywire_int.h"
 #include "wire_int.h"
 
 /* Writing of the messages; reading is in carryread.c. */
@@ -230,7 +230,8 @@
 
 	look = answer->look;
 	msgpack_packer_init(&pk, &w->items, msgpack_sbuffer_write);
-	msgpack_pack_array(&pk, look != NULL ? POLL_ANSWER_ITEMS : ANSWER_ITEMS);
+	msgpack_pack_array(
+	    &pk, look != NULL ? POLL_ANSWER_ITEMS : ANSWER_ITEMS);
 	msgpack_pack_uint64(&pk, answer->number);
 	msgpack_pack_int(&pk, (int)answer->answer);
 	put_number(&pk, answer->clock_ms);
--- a/entry/carrywire.h
+++ b/entry/relaywire.h
@@ -1,10 +1,10 @@
-#ifndef CARRYWIRE_H
-#define CARRYWIRE_H
+#ifndef RELAYWIRE_H
+#define RELAYWIRE_H
 
 #include <msgpack.h>
 
 #include "elect.h"
-#include "keptlist.h"
+#include "running_list.h"
 
 /*
  * Orders that a leader gives to members, and their answers, as msgpack: each
@@ -85,4 +85,4 @@
 bool relay_is_message(const void *data, size_t len);
 bool relay_is_orders(const void *data, size_t len);
 
-#endif /* CARRYWIRE_H */
+#endif /* RELAYWIRE_H */
--- a/entry/carrywire_int.h
+++ b/entry/relaywire_int.h
@@ -1,5 +1,5 @@
-#ifndef CARRYWIRE_INT_H
-#define CARRYWIRE_INT_H
+#ifndef RELAYWIRE_INT_H
+#define RELAYWIRE_INT_H
 
 /* The form of the messages of carrywire.h; for their two files alone. */
 
@@ -16,7 +16,8 @@
 #define PACE_ITEMS (ORDER_ITEMS + TASK_ITEMS + 1)
 #define POLL_ITEMS (ORDER_ITEMS + 4)
 #define ANSWER_ITEMS 3 /* number, answer, the worker's clock */
-#define POLL_ANSWER_ITEMS (ANSWER_ITEMS + 4) /* worker, base, running, finished */
+#define POLL_ANSWER_ITEMS \
+	(ANSWER_ITEMS + 4) /* worker, base, running, finished */
 #define DELTA_ITEMS 3 /* place in the base, percent, figure */
 #define DELTA_CHECKPOINT_ITEMS (DELTA_ITEMS + 1) /* and its new checkpoint */
 #define RUNNING_ITEMS (TASK_ITEMS + 3) /* checkpoint, percent, figure */
@@ -26,4 +27,4 @@
 #define PAYLOAD_MAX ((size_t)64 * 1024)
 #define CHECKPOINT_MAX 4096
 
-#endif /* CARRYWIRE_INT_H */
+#endif /* RELAYWIRE_INT_H */
--- a/entry/keptlist.c
+++ b/entry/running_list.c
@@ -1,7 +1,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "keptlist.h"
+#include "running_list.h"
 
 /* Workers are asked each second; one asked less often is another's by now. */
 #define KEEP_MS 10000
@@ -49,7 +49,8 @@
 }
 
 const struct running_list *
-running_list_find(struct running_lists *lists, const char *worker, uint64_t number)
+running_list_find(
+    struct running_lists *lists, const char *worker, uint64_t number)
 {
 	const struct running_list *list;
 
@@ -102,8 +103,8 @@
 }
 
 void
-running_list_put(struct running_lists *lists, const char *worker, uint64_t number,
-    const struct poll_running *rows, size_t n, int64_t now_ms)
+running_list_put(struct running_lists *lists, const char *worker,
+    uint64_t number, const struct poll_running *rows, size_t n, int64_t now_ms)
 {
 	struct running_list *list, *before;
 
--- a/entry/keptlist.h
+++ b/entry/running_list.h
@@ -1,5 +1,5 @@
-#ifndef KEPTLIST_H
-#define KEPTLIST_H
+#ifndef RUNNING_LIST_H
+#define RUNNING_LIST_H
 
 #include <sys/tree.h>
 
@@ -30,10 +30,10 @@
 /* The number of the worker's list; 0: none is kept. */
 uint64_t running_list_number(struct running_lists *, const char *worker);
 /* The rows are copied.  Without memory none is kept. */
-void running_list_put(struct running_lists *, const char *worker, uint64_t number,
-    const struct poll_running *, size_t n, int64_t now_ms);
+void running_list_put(struct running_lists *, const char *worker,
+    uint64_t number, const struct poll_running *, size_t n, int64_t now_ms);
 void running_list_remove(struct running_lists *, const char *worker);
 /* Forget lists of workers that weren't asked for long. */
 void running_lists_expire(struct running_lists *, int64_t now_ms);
 
-#endif /* KEPTLIST_H */
+#endif /* RUNNING_LIST_H */
--- a/tests/test_foreign.cc
+++ b/tests/test_foreign.cc
@@ -17,7 +17,7 @@
 #include "items.h"
 #include "report.h"
 #include "sitefile.h"
-#include "world.h"
+#include "config.h"
 }
 
 namespace {
--- a/tests/test_carry.cc
+++ b/tests/test_relay.cc
@@ -3,7 +3,7 @@
 #include <cstring>
 
 extern "C" {
-#include "carry.h"
+#include "relay.h"
 #include "clock.h"
 #include "node_int.h"
 }
--- a/tests/test_carrywire.cc
+++ b/tests/test_relaywire.cc
@@ -6,7 +6,7 @@
 #include <gtest/gtest.h>
 
 extern "C" {
-#include "carrywire.h"
+#include "relaywire.h"
 }
 
 // A message may claim four thousand million items: the decoder's request for
@@ -130,8 +130,10 @@
 		answer.worker = "i-1";
 		answer.look = &look;
 		relay_write_answer(&writer, &answer,
-		    base != 0 ? running_list_find(&member, "i-1", base) : nullptr);
-		running_list_put(&member, "i-1", number, rows.data(), rows.size(), 0);
+		    base != 0 ? running_list_find(&member, "i-1", base) :
+				nullptr);
+		running_list_put(
+		    &member, "i-1", number, rows.data(), rows.size(), 0);
 	}
 
 	// Bytes of the message; it is read unless it is lost on its way.
--- a/tests/test_submit.cc
+++ b/tests/test_submit.cc
@@ -9,7 +9,7 @@
 extern "C" {
 #include "codec.h"
 #include "submit.h"
-#include "world.h"
+#include "config.h"
 }
 
 namespace {
