--- a/tests/test_accept.cc
+++ b/tests/test_accept.cc
@@ -44,7 +44,7 @@
 		options.harm_ms = 4000;
 		options.kv = { this, Get, Range, Watch, Txn, AnsweredMs,
 			FailedMs };
-		options.world = { this, "c/", "w/", Config, WorkerEntry,
+		options.platform = { this, "c/", "w/", Config, WorkerEntry,
 			WorkerId };
 		/* Other programs on the machine may have it. */
 		for (int i = 0; i < 20 && node == nullptr; i++) {
--- a/tests/test_relay.cc
+++ b/tests/test_relay.cc
@@ -71,7 +71,7 @@
 
 		order.worker = &worker_;
 		order.term = node_.elect.leader.term;
-		ops_.look(ops_.self, &order, OnDone, nullptr);
+		ops_.poll(ops_.self, &order, OnDone, nullptr);
 	}
 
 	struct node node_ = {};
