--- a/core/sched.c
+++ b/core/sched.c
@@ -3,10 +3,10 @@
 
 #include "sched_int.h"
 
-/* sched_act() is called at least so often, in milliseconds. */
-#define STEP_MAX_MS 200
-/* Repeated jobs may begin late by so much, in milliseconds. */
-#define REPEATS_MS 20
+/* Longest interval between calls of sched_act(). */
+#define ACT_INTERVAL_MAX_MS 200
+/* Interval of checks for due occurrences, which may begin late by as much. */
+#define REPEAT_CHECK_MS 20
 
 struct sched *
 sched_open(const struct sched_options *options)
@@ -34,7 +34,7 @@
 		free(s);
 		return NULL;
 	}
-	/* All of them, until the first look at each. */
+	/* Until inherit_update() has run, any task may run on any worker. */
 	s->unsettled = UINT64_MAX;
 	s->any_task_inherited = true;
 	s->former_leader_active = true;
@@ -83,7 +83,6 @@
 	return queue;
 }
 
-/* The step is due at that time at the latest. */
 void
 sched_due(struct sched *s, int64_t at_ms)
 {
@@ -91,7 +90,7 @@
 		s->next_ms = at_ms;
 }
 
-/* xorshift; only to break ties between workers. */
+/* xorshift64; used only to choose between workers in placement. */
 uint64_t
 sched_random(struct sched *s)
 {
@@ -102,7 +101,7 @@
 }
 
 static void
-open_repeats(struct sched *s, int64_t now_ms)
+open_due_repeats(struct sched *s, int64_t now_ms)
 {
 	struct sched_job *job, *next;
 
@@ -110,7 +109,7 @@
 		sched_due(s, s->repeats_ms);
 		return;
 	}
-	s->repeats_ms = now_ms + REPEATS_MS;
+	s->repeats_ms = now_ms + REPEAT_CHECK_MS;
 	for (job = TAILQ_FIRST(&s->open); job != NULL; job = next) {
 		next = TAILQ_NEXT(job, link);
 		if (job->graph->repeats > 0)
@@ -123,8 +122,8 @@
 {
 	if (s->deposed)
 		return;
-	s->next_ms = now_ms + STEP_MAX_MS;
-	open_repeats(s, now_ms);
+	s->next_ms = now_ms + ACT_INTERVAL_MAX_MS;
+	open_due_repeats(s, now_ms);
 	drain_move_tasks(s, now_ms);
 	crash_update_rate(s, now_ms);
 	worker_run_due(s, now_ms);
@@ -138,7 +137,7 @@
 }
 
 static void
-load_of_worker(const struct sched_worker *worker, struct sched_load *load)
+add_worker_load(const struct sched_worker *worker, struct sched_load *load)
 {
 	const struct sched_run *run;
 
@@ -156,7 +155,7 @@
 }
 
 static void
-load_of_step(struct sched_step *step, void *ctx)
+add_step_load(struct sched_step *step, void *ctx)
 {
 	const struct sched_task *task;
 	struct sched_load *load;
@@ -183,8 +182,8 @@
 			load->unsettled++;
 		if (worker_usable(worker, now_ms))
 			load->usable++;
-		load_of_worker(worker, load);
+		add_worker_load(worker, load);
 	}
 	TAILQ_FOREACH (job, &s->open, link)
-		job_each_step(job, load_of_step, load);
+		job_each_step(job, add_step_load, load);
 }
--- a/core/sched_answer.c
+++ b/core/sched_answer.c
@@ -3,21 +3,21 @@
 
 #include "sched_int.h"
 
-/* What workers answer: to starts, stops, paces and looks. */
-
-/* A worker that refuses work isn't asked for so long, in milliseconds. */
-#define UNHEALTHY_MS 1000
-/* A list of ends this long may have been cut: others are told later. */
-#define FINISHED_PAGE 500
-/* Runs that nobody needs are being stopped: look again after so long. */
-#define STRAY_LOOK_MS 100
-/* A refused start is tried elsewhere after so long. */
+/* Answers of workers to start, stop, pace and poll requests. */
+
+/* A worker that refused a start as unhealthy gets none for this long. */
+#define UNHEALTHY_BACKOFF_MS 1000
+/* A list of ends this long may be truncated; later polls return the rest. */
+#define FINISHED_PAGE_SIZE 500
+/* Poll interval while runs that are not needed are being stopped. */
+#define STRAY_POLL_MS 100
+/* Delay before a refused start is retried on another worker. */
 #define REFUSED_RETRY_MS 20
-/* One that the worker called bad is likely to be called so again. */
-#define BAD_RETRY_MS 500
+/* Longer, as a start rejected as invalid is likely to be rejected again. */
+#define INVALID_RETRY_MS 500
 
 static void
-depose(struct sched *s)
+step_down(struct sched *s)
 {
 	if (s->deposed)
 		return;
@@ -25,12 +25,16 @@
 	s->opt.actions->deposed(s, s->opt.ctx);
 }
 
-/* false: the lead or that life of the worker is over, and so is the order. */
+/*
+ * Handles what all answers have in common.  Returns false if this leader was
+ * replaced or the incarnation of the worker is over; the answer is then not
+ * to be handled any further.
+ */
 static bool
-is_current(struct sched *s, struct sched_worker *worker,
+accept_answer(struct sched *s, struct sched_worker *worker,
     enum worker_answer answer, int64_t clock_ms, int64_t now_ms)
 {
-	/* The clock that it tells isn't this life's. */
+	/* The clock in the answer is that of another incarnation. */
 	if (answer == ANSWER_OTHER_INCARNATION) {
 		worker_incarnation_ended(s, worker, now_ms);
 		return false;
@@ -38,13 +42,13 @@
 	if (answer != ANSWER_LOST && answer != ANSWER_NOT_SENT && clock_ms > 0)
 		worker_note_answer(s, worker, clock_ms, now_ms);
 	if (answer == ANSWER_FENCED) {
-		depose(s);
+		step_down(s);
 		return false;
 	}
 	return true;
 }
 
-/* A gang runs whole or not at all: one that doesn't start ends the others. */
+/* Stops all tasks of a gang; they run together or not at all. */
 static void
 stop_gang(struct sched *s, struct sched_step *step)
 {
@@ -56,7 +60,7 @@
 		run_stop_others(s, &step->tasks[i], NULL);
 }
 
-/* Settle a run that surely never started, and try the task elsewhere. */
+/* Settles a run that surely did not start and queues its task again. */
 static void
 start_failed(
     struct sched *s, struct sched_run *run, int64_t retry_ms, int64_t now_ms)
@@ -71,17 +75,17 @@
 }
 
 static void
-start_lost(struct sched *s, struct sched_run *run, int64_t now_ms)
+start_unconfirmed(struct sched *s, struct sched_run *run, int64_t now_ms)
 {
 	run->state = RUN_UNCONFIRMED;
 	run->answered_ms = now_ms;
 	worker_call_failed(s, run->worker, now_ms);
 	/*
-	 * The order may be carried out late, after newer ones.  A stop that is
-	 * answered makes the worker refuse that attempt from then on.
+	 * The start request may still be carried out, even after newer ones.
+	 * Once a stop is answered the worker refuses that attempt.
 	 */
 	run_want_stop(s, run);
-	/* The others would wait for it in vain. */
+	/* The other tasks of the gang would wait for this one in vain. */
 	stop_gang(s, run->task->step);
 }
 
@@ -92,7 +96,7 @@
 {
 	struct sched_run *run;
 
-	if (!is_current(s, worker, answer, clock_ms, now_ms))
+	if (!accept_answer(s, worker, answer, clock_ms, now_ms))
 		return;
 	run = run_find(worker, name, attempt);
 	if (run == NULL || run->state != RUN_STARTING)
@@ -106,18 +110,18 @@
 		job_mark_begun(task_job(run->task));
 		break;
 	case ANSWER_LOST:
-		start_lost(s, run, now_ms);
+		start_unconfirmed(s, run, now_ms);
 		break;
 	case ANSWER_NOT_SENT:
 		worker_call_failed(s, worker, now_ms);
 		start_failed(s, run, 0, now_ms);
 		break;
 	case ANSWER_UNHEALTHY:
-		worker->probe_ms = now_ms + UNHEALTHY_MS;
+		worker->probe_ms = now_ms + UNHEALTHY_BACKOFF_MS;
 		start_failed(s, run, 0, now_ms);
 		break;
 	case ANSWER_REFUSED:
-		start_failed(s, run, BAD_RETRY_MS, now_ms);
+		start_failed(s, run, INVALID_RETRY_MS, now_ms);
 		break;
 	default:
 		start_failed(s, run, REFUSED_RETRY_MS, now_ms);
@@ -132,13 +136,16 @@
 {
 	struct sched_run *run;
 
-	if (!is_current(s, worker, answer, clock_ms, now_ms))
+	if (!accept_answer(s, worker, answer, clock_ms, now_ms))
 		return;
 	if ((run = run_find(worker, name, attempt)) == NULL)
 		return;
 	run->stop_pending = false;
 	if (answer == ANSWER_OK) {
-		/* Room comes back with its end, or a look without it. */
+		/*
+		 * The reservation is released with the end of the run, or with
+		 * a poll that no longer lists it.
+		 */
 		run->state = RUN_STOPPING;
 		run->answered_ms = now_ms;
 		worker->next_poll_ms = now_ms;
@@ -154,7 +161,7 @@
 	struct sched_run *run;
 
 	if (answer == ANSWER_FENCED) {
-		depose(s);
+		step_down(s);
 		return;
 	}
 	if ((run = run_find(worker, name, attempt)) == NULL)
@@ -165,7 +172,7 @@
 	run->paced_ms = now_ms;
 }
 
-/* The end of a run, told for the first time. */
+/* Applies the end of a run that is reported for the first time. */
 static void
 apply_end(struct sched *s, struct sched_worker *worker,
     const struct poll_finished *end, struct sched_task *task, int64_t now_ms)
@@ -197,9 +204,9 @@
 		run_requeue(s, task, now_ms, now_ms);
 }
 
-/* One end of a gang that is done stands for all of its tasks. */
+/* The end of one task of a gang completes all of its tasks. */
 static void
-gang_done(struct sched *s, struct sched_step *step, int64_t now_ms)
+complete_gang(struct sched *s, struct sched_step *step, int64_t now_ms)
 {
 	struct sched_job *job;
 	uint32_t i;
@@ -209,10 +216,13 @@
 		task_done(s, &step->tasks[i], now_ms);
 }
 
-/* An end that is dealt with; acknowledged once its job is saved. */
+/*
+ * Queues the acknowledgement of a processed end; it is sent once the job is
+ * saved.  Returns false if memory is short.
+ */
 static bool
-keep_end(struct sched *s, struct sched_worker *worker, uint64_t number,
-    struct sched_job *job)
+queue_acknowledgement(struct sched *s, struct sched_worker *worker,
+    uint64_t number, struct sched_job *job)
 {
 	struct sched_end *end;
 
@@ -220,7 +230,10 @@
 		return false;
 	worker->processed = number;
 	end->number = number;
-	/* The mark that there is no such job may go before this end does. */
+	/*
+	 * The entry that marks a job as absent may be removed before this end
+	 * is acknowledged.
+	 */
 	end->job = job->absent ? NULL : job;
 	end->change = job->change;
 	if (STAILQ_EMPTY(&worker->ends))
@@ -230,13 +243,15 @@
 }
 
 /*
- * false: it must be told again, and so must those after it.  These count all
- * the same, since the worker may be gone before it is asked again; to note an
- * end twice changes nothing.  keep: all before it are dealt with.
+ * Processes an end from a poll.  Returns false if the worker has to report it
+ * and all later ones again.  Later ones are applied nevertheless, as the worker
+ * may be gone before the next poll; applying an end twice changes nothing.
+ * acknowledge: all earlier ends were processed, so this one may be
+ * acknowledged.
  */
 static bool
-note_end(struct sched *s, struct sched_worker *worker,
-    const struct poll_finished *finished, bool keep, int64_t now_ms)
+process_end(struct sched *s, struct sched_worker *worker,
+    const struct poll_finished *finished, bool acknowledge, int64_t now_ms)
 {
 	struct sched_task *task;
 	struct sched_job *job;
@@ -252,13 +267,14 @@
 	if (task != NULL) {
 		apply_end(s, worker, finished, task, now_ms);
 		if (finished->how == END_DONE && task->step->spec->gang)
-			gang_done(s, task->step, now_ms);
+			complete_gang(s, task->step, now_ms);
 	}
-	return keep && keep_end(s, worker, finished->number, job);
+	return acknowledge &&
+	    queue_acknowledgement(s, worker, finished->number, job);
 }
 
 static struct sched_run *
-adopt(struct sched *s, struct sched_worker *worker, struct sched_task *task,
+adopt_run(struct sched *s, struct sched_worker *worker, struct sched_task *task,
     uint32_t attempt, int64_t now_ms)
 {
 	struct sched_run *run;
@@ -273,17 +289,19 @@
 }
 
 /*
- * A run of a job that we don't know: a former leader started it after we had
- * read the jobs.  Stopped at once, it would be told apart from a lost one too
- * late; the task would run twice when its job becomes known.
+ * Records a run that the worker lists and that has no struct sched_run.  If its
+ * job is unknown, a former leader started it after this leader had read the
+ * jobs.  It is not stopped until the job is looked up: a run that was stopped
+ * could not be told from a lost one in time, and the task would run twice once
+ * its job becomes known.
  */
 static void
-keep_stray(struct sched_worker *worker, const struct poll_running *row)
+add_stray(struct sched_worker *worker, const struct poll_running *row)
 {
 	struct sched_stray *stray;
 
 	if ((stray = calloc(1, sizeof(*stray))) == NULL)
-		abort(); /* forgotten, it would be started a second time */
+		abort(); /* a run not recorded would be started twice */
 	stray->task = row->task;
 	stray->attempt = row->attempt;
 	SLIST_INSERT_HEAD(&worker->strays, stray, link);
@@ -301,30 +319,36 @@
 			if (strcmp(stray->task.job, job->id) != 0 ||
 			    (task = job_task(s, &stray->task)) == NULL)
 				continue;
-			adopt(s, worker, task, stray->attempt, now_ms);
+			adopt_run(s, worker, task, stray->attempt, now_ms);
 			job_mark_begun(job);
 		}
 	}
 }
 
-/* A run that isn't ours: a former leader's, or one to be stopped. */
+/*
+ * Handles a listed run that this leader did not start: adopts it, stops it if
+ * it is not needed, or asks for its job if that is unknown.
+ */
 static struct sched_run *
-take_over_run(struct sched *s, struct sched_worker *worker,
+adopt_or_stop(struct sched *s, struct sched_worker *worker,
     const struct poll_running *row, int64_t now_ms)
 {
 	struct sched_task *task;
 
 	if (sched_job_find(s, row->task.job) == NULL) {
-		keep_stray(worker, row);
+		add_stray(worker, row);
 		s->opt.actions->unknown(s, row->task.job, s->opt.ctx);
 		return NULL;
 	}
 	task = job_task(s, &row->task);
 	if (task != NULL && task->state != SCHED_DONE &&
 	    !task_job(task)->in_ended)
-		return adopt(s, worker, task, row->attempt, now_ms);
-	/* A next leader may know less of its job: the record must name it. */
-	keep_stray(worker, row);
+		return adopt_run(s, worker, task, row->attempt, now_ms);
+	/*
+	 * The next leader may know less of the job, so the worker record has
+	 * to name this run.
+	 */
+	add_stray(worker, row);
 	worker->unneeded++;
 	s->counts.stops++;
 	s->opt.actions->stop(s, worker, &row->task, row->attempt, s->opt.ctx);
@@ -332,14 +356,14 @@
 }
 
 static void
-note_running(struct sched *s, struct sched_worker *worker,
+process_running(struct sched *s, struct sched_worker *worker,
     const struct poll_running *row, int64_t now_ms)
 {
 	struct sched_run *run;
 
 	run = run_find(worker, &row->task, row->attempt);
 	if (run == NULL &&
-	    (run = take_over_run(s, worker, row, now_ms)) == NULL)
+	    (run = adopt_or_stop(s, worker, row, now_ms)) == NULL)
 		return;
 	if (run->state == RUN_STARTING || run->state == RUN_UNCONFIRMED) {
 		run->state = RUN_RUNNING;
@@ -358,11 +382,12 @@
 }
 
 /*
- * Runs that the worker lists neither as running nor as ended, though their
- * start or stop was answered before it made the list: they aren't there.
+ * Settles runs that do not exist at the worker: it lists them neither as
+ * running nor as ended, although their start or stop was answered before it
+ * made the list.
  */
 static void
-drop_unlisted(struct sched *s, struct sched_worker *worker, int64_t now_ms)
+settle_unlisted(struct sched *s, struct sched_worker *worker, int64_t now_ms)
 {
 	struct sched_run *run, *next;
 	struct sched_task *task;
@@ -389,7 +414,7 @@
 	size_t i;
 
 	for (i = 0; i < result->nfinished; i++)
-		note_end(s, worker, &result->finished[i], false, now_ms);
+		process_end(s, worker, &result->finished[i], false, now_ms);
 	worker_schedule(s, worker);
 }
 
@@ -406,7 +431,7 @@
 	case ANSWER_OK:
 		break;
 	case ANSWER_FENCED:
-		depose(s);
+		step_down(s);
 		return;
 	case ANSWER_OTHER_INCARNATION:
 		worker_incarnation_ended(s, worker, now_ms);
@@ -421,18 +446,21 @@
 	worker_drop_strays(worker);
 	complete = true;
 	for (i = 0; i < result->nfinished; i++)
-		complete =
-		    note_end(s, worker, &result->finished[i], complete, now_ms);
+		complete = process_end(
+		    s, worker, &result->finished[i], complete, now_ms);
 	for (i = 0; i < result->nrunning; i++)
-		note_running(s, worker, &result->running[i], now_ms);
-	if (complete && result->nfinished < FINISHED_PAGE) {
-		/* Only now all is known that a former leader left there. */
+		process_running(s, worker, &result->running[i], now_ms);
+	if (complete && result->nfinished < FINISHED_PAGE_SIZE) {
+		/*
+		 * The list is complete, so all runs left there by former
+		 * leaders are known.
+		 */
 		if (!worker->fenced)
 			s->place_wanted = true;
 		worker->fenced = true;
-		drop_unlisted(s, worker, now_ms);
+		settle_unlisted(s, worker, now_ms);
 	}
 	share_update(s, worker, now_ms);
 	if (!complete || worker->unneeded > 0 || !SLIST_EMPTY(&worker->strays))
-		worker->next_poll_ms = now_ms + STRAY_LOOK_MS;
+		worker->next_poll_ms = now_ms + STRAY_POLL_MS;
 }
--- a/core/sched_crash.c
+++ b/core/sched_crash.c
@@ -4,23 +4,27 @@
 #include "sched_int.h"
 
 /*
- * Workers that crash: how often they do, and whether one that went silent has.
+ * Crashes of workers: their rate, and whether a silent worker has crashed.
  *
- * That a worker is silent proves no crash: it may be cut off and run on.  A
- * crash is sure when another life answers or is listed at its address.  So a
- * life that lapsed is kept for a while with what ran there.
+ * A silent worker need not have crashed: it may be cut off from the network and
+ * still run.  A crash is certain once another incarnation answers or is listed
+ * at its address.  So an incarnation whose leases expired is kept for a while,
+ * with its runs.
  */
 
-/* A worker that comes back at its address does so within this time. */
-#define LIFE_KEEP_MS 30000
-#define WATCH_EVERY_MS 500
+/* A worker that is restarted at its address is listed within this time. */
+#define INCARNATION_KEEP_MS 30000
+#define RATE_UPDATE_MS 500
 
 struct lost_run {
 	struct task_name task;
 	uint32_t attempt;
 };
 
-/* A life of a worker that lapsed; whether it crashed isn't known. */
+/*
+ * An incarnation of a worker whose leases expired.  Whether it crashed is not
+ * known.
+ */
 struct sched_lost_incarnation {
 	LIST_ENTRY(sched_lost_incarnation) link;
 	char id[SCHED_WORKER_ID_MAX];
@@ -32,30 +36,31 @@
 };
 
 static void
-keep_life(struct sched *s, const struct sched_worker *worker, int64_t now_ms)
+add_incarnation(
+    struct sched *s, const struct sched_worker *worker, int64_t now_ms)
 {
-	struct sched_lost_incarnation *life;
+	struct sched_lost_incarnation *inc;
 	const struct sched_run *run;
 	size_t n;
 
 	n = sched_worker_nruns(worker);
-	life = calloc(1, sizeof(*life) + n * sizeof(life->runs[0]));
-	if (life == NULL)
+	inc = calloc(1, sizeof(*inc) + n * sizeof(inc->runs[0]));
+	if (inc == NULL)
 		return;
-	strlcpy(life->id, worker->id, sizeof(life->id));
-	strlcpy(life->address, worker->address, sizeof(life->address));
-	life->serial = worker->serial;
-	life->at_ms = now_ms;
+	strlcpy(inc->id, worker->id, sizeof(inc->id));
+	strlcpy(inc->address, worker->address, sizeof(inc->address));
+	inc->serial = worker->serial;
+	inc->at_ms = now_ms;
 	TAILQ_FOREACH (run, &worker->runs, by_worker) {
-		sched_task_name(run->task, &life->runs[life->nruns].task);
-		life->runs[life->nruns++].attempt = run->attempt;
+		sched_task_name(run->task, &inc->runs[inc->nruns].task);
+		inc->runs[inc->nruns++].attempt = run->attempt;
 	}
-	LIST_INSERT_HEAD(&s->lost_incarnations, life, link);
+	LIST_INSERT_HEAD(&s->lost_incarnations, inc, link);
 }
 
-/* Another life has been listed at the address of one that lapses. */
+/* Another incarnation has been listed at the address of the worker. */
 static bool
-is_followed(struct sched *s, const struct sched_worker *worker)
+is_replaced(struct sched *s, const struct sched_worker *worker)
 {
 	struct sched_worker *other;
 
@@ -69,15 +74,15 @@
 }
 
 static void
-drop_life(struct sched_lost_incarnation *life)
+free_incarnation(struct sched_lost_incarnation *inc)
 {
-	LIST_REMOVE(life, link);
-	free(life);
+	LIST_REMOVE(inc, link);
+	free(inc);
 }
 
-/* It was up and hadn't said that it leaves. */
+/* The worker was up and had not announced that it leaves. */
 static bool
-went_unannounced(const struct sched_worker *worker)
+left_unannounced(const struct sched_worker *worker)
 {
 	return worker->fenced && !worker->draining;
 }
@@ -85,7 +90,7 @@
 void
 crash_idle_worker_lost(struct sched *s, const struct sched_worker *worker)
 {
-	if (went_unannounced(worker) && !worker->dead && !worker->lapsed)
+	if (left_unannounced(worker) && !worker->dead && !worker->lapsed)
 		blame_add_crash(&s->crash_rate);
 }
 
@@ -95,42 +100,41 @@
 {
 	struct sched_run *run;
 
-	if (went_unannounced(worker) && !worker->lapsed) {
+	if (left_unannounced(worker) && !worker->lapsed) {
 		blame_add_crash(&s->crash_rate);
-		if (cause == LOSS_LAPSED && is_followed(s, worker))
+		if (cause == LOSS_LAPSED && is_replaced(s, worker))
 			cause = LOSS_CONFIRMED;
 		else if (cause == LOSS_LAPSED)
-			keep_life(s, worker, now_ms);
+			add_incarnation(s, worker, now_ms);
 	}
 	TAILQ_FOREACH (run, &worker->runs, by_worker)
 		loss_record(s, run, cause, now_ms);
 }
 
 static void
-settle_life(struct sched *s, struct sched_lost_incarnation *life,
+resolve_incarnation(struct sched *s, struct sched_lost_incarnation *inc,
     enum sched_loss cause, int64_t now_ms)
 {
 	size_t i;
 
 	if (cause == LOSS_REFUTED)
 		blame_remove_crash(&s->crash_rate);
-	for (i = 0; i < life->nruns; i++)
-		loss_resolve(s, &life->runs[i].task, life->runs[i].attempt,
-		    life->id, cause, now_ms);
-	drop_life(life);
+	for (i = 0; i < inc->nruns; i++)
+		loss_resolve(s, &inc->runs[i].task, inc->runs[i].attempt,
+		    inc->id, cause, now_ms);
+	free_incarnation(inc);
 }
 
 void
 crash_resolve(struct sched *s, const struct sched_worker *worker,
     enum sched_loss cause, int64_t now_ms)
 {
-	struct sched_lost_incarnation *life, *next;
+	struct sched_lost_incarnation *inc, *next;
 
-	for (life = LIST_FIRST(&s->lost_incarnations); life != NULL;
-	     life = next) {
-		next = LIST_NEXT(life, link);
-		if (strcmp(life->id, worker->id) == 0)
-			settle_life(s, life, cause, now_ms);
+	for (inc = LIST_FIRST(&s->lost_incarnations); inc != NULL; inc = next) {
+		next = LIST_NEXT(inc, link);
+		if (strcmp(inc->id, worker->id) == 0)
+			resolve_incarnation(s, inc, cause, now_ms);
 	}
 }
 
@@ -138,20 +142,19 @@
 crash_worker_listed(
     struct sched *s, const struct sched_worker *worker, int64_t now_ms)
 {
-	struct sched_lost_incarnation *life, *next;
-
-	for (life = LIST_FIRST(&s->lost_incarnations); life != NULL;
-	     life = next) {
-		next = LIST_NEXT(life, link);
-		if (worker->serial > life->serial &&
-		    strcmp(life->address, worker->address) == 0 &&
-		    life->address[0] != '\0')
-			settle_life(s, life, LOSS_CONFIRMED, now_ms);
+	struct sched_lost_incarnation *inc, *next;
+
+	for (inc = LIST_FIRST(&s->lost_incarnations); inc != NULL; inc = next) {
+		next = LIST_NEXT(inc, link);
+		if (worker->serial > inc->serial &&
+		    strcmp(inc->address, worker->address) == 0 &&
+		    inc->address[0] != '\0')
+			resolve_incarnation(s, inc, LOSS_CONFIRMED, now_ms);
 	}
 }
 
 static uint32_t
-count_up(struct sched *s)
+count_live(struct sched *s)
 {
 	struct sched_worker *worker;
 	uint32_t n;
@@ -168,17 +171,16 @@
 void
 crash_update_rate(struct sched *s, int64_t now_ms)
 {
-	struct sched_lost_incarnation *life, *next;
+	struct sched_lost_incarnation *inc, *next;
 
 	if (s->crash_rate.at_ms != 0 &&
-	    now_ms - s->crash_rate.at_ms < WATCH_EVERY_MS)
+	    now_ms - s->crash_rate.at_ms < RATE_UPDATE_MS)
 		return;
-	blame_update_rate(&s->crash_rate, count_up(s), now_ms);
-	for (life = LIST_FIRST(&s->lost_incarnations); life != NULL;
-	     life = next) {
-		next = LIST_NEXT(life, link);
-		if (now_ms - life->at_ms > LIFE_KEEP_MS)
-			drop_life(life);
+	blame_update_rate(&s->crash_rate, count_live(s), now_ms);
+	for (inc = LIST_FIRST(&s->lost_incarnations); inc != NULL; inc = next) {
+		next = LIST_NEXT(inc, link);
+		if (now_ms - inc->at_ms > INCARNATION_KEEP_MS)
+			free_incarnation(inc);
 	}
 }
 
@@ -186,5 +188,5 @@
 crash_free(struct sched *s)
 {
 	while (!LIST_EMPTY(&s->lost_incarnations))
-		drop_life(LIST_FIRST(&s->lost_incarnations));
+		free_incarnation(LIST_FIRST(&s->lost_incarnations));
 }
--- a/core/sched_headroom.c
+++ b/core/sched_headroom.c
@@ -4,22 +4,22 @@
 #include "sched_int.h"
 
 /*
- * Whether new jobs that last may be taken beside short work.
+ * Admission of new long-running jobs beside short tasks.
  *
- * What lasts holds its processors for minutes, and goes first when one comes
- * free.  While such jobs come faster than they end they claim all of them, and
- * short work, which would give its piece back within a second, finds none: its
- * callers wait past their deadlines for as long as the others last.  So the
- * processors that short work asks for are kept out of reach of new jobs that
- * last; those that were taken get room before all others, as ever.  Where
- * nobody asks for short work nothing is kept.
+ * A long-running task holds its processors for minutes and is placed first when
+ * one is free.  If such jobs arrive faster than they end, they claim all
+ * processors, and short tasks, which would release theirs within a second, find
+ * none: their callers wait past their deadlines until long-running jobs end.
+ * So the processors that short tasks need are reserved against new long-running
+ * jobs; accepted ones still get room before all others.  Without demand for
+ * short tasks nothing is reserved.
  */
 
-/* Short work is measured over so long: some seconds of a steady load. */
-#define DEMAND_SPAN_MS 10000.0
-/* Younger measurements are no better than ones of this age. */
+/* Time constant of the decay of demand: some seconds of a steady load. */
+#define DEMAND_DECAY_MS 10000.0
+/* Demand measured for less time is taken as measured for this long. */
 #define DEMAND_AGE_MIN_MS 1000.0
-/* Work comes unevenly; without some more than its mean it waits in line. */
+/* Load varies: with no more than its mean reserved, short tasks queue up. */
 #define NEED_MARGIN 1.2
 
 static bool
@@ -29,15 +29,15 @@
 }
 
 static void
-fade(struct sched_demand *demand, int64_t now_ms)
+decay(struct sched_demand *demand, int64_t now_ms)
 {
-	double kept;
+	double factor;
 
-	kept = exp(-(double)(now_ms - demand->at_ms) / DEMAND_SPAN_MS);
+	factor = exp(-(double)(now_ms - demand->at_ms) / DEMAND_DECAY_MS);
 	demand->at_ms = now_ms;
-	demand->work *= kept;
-	demand->tasks *= kept;
-	demand->cpu *= kept;
+	demand->work *= factor;
+	demand->tasks *= factor;
+	demand->cpu *= factor;
 }
 
 void
@@ -52,16 +52,16 @@
 	demand = &queue->demand;
 	if (demand->since_ms == 0)
 		demand->since_ms = now_ms;
-	fade(demand, now_ms);
+	decay(demand, now_ms);
 	cpu = (double)spec->count * (double)spec->size.cpu_millis;
 	demand->work += cpu * (double)spec->estimate_ms * queue->run_ratio;
 	demand->tasks += spec->count;
 	demand->cpu += cpu;
 }
 
-/* Processors that its short work keeps busy, in thousandths. */
+/* Mean of processors used by short tasks of the queue, in thousandths. */
 static double
-need_of(struct sched_queue *queue, int64_t now_ms)
+queue_need(struct sched_queue *queue, int64_t now_ms)
 {
 	struct sched_demand *demand;
 	double age_ms;
@@ -69,13 +69,16 @@
 	demand = &queue->demand;
 	if (demand->since_ms == 0)
 		return 0;
-	fade(demand, now_ms);
+	decay(demand, now_ms);
 	age_ms = fmax((double)(now_ms - demand->since_ms), DEMAND_AGE_MIN_MS);
 	return demand->work /
-	    (DEMAND_SPAN_MS * (1 - exp(-age_ms / DEMAND_SPAN_MS)));
+	    (DEMAND_DECAY_MS * (1 - exp(-age_ms / DEMAND_DECAY_MS)));
 }
 
-/* Short work as urgent as the queue's own, or more so. */
+/*
+ * Adds the need of all queues of the service that are at least as urgent; a
+ * lower priority number is more urgent.
+ */
 static void
 add_need(struct sched *s, const struct sched_queue *queue,
     struct sched_headroom *room, int64_t now_ms)
@@ -89,7 +92,8 @@
 		if (other->terms.priority > queue->terms.priority ||
 		    strcmp(other->terms.service, queue->terms.service) != 0)
 			continue;
-		room->need += (int64_t)(NEED_MARGIN * need_of(other, now_ms));
+		room->need +=
+		    (int64_t)(NEED_MARGIN * queue_need(other, now_ms));
 		tasks += other->demand.tasks;
 		cpu += other->demand.cpu;
 	}
@@ -97,7 +101,7 @@
 		room->piece = (int64_t)(cpu / tasks);
 }
 
-/* Pieces smaller than a short task hold none. */
+/* Adds the free processors of workers that have room for a short task. */
 static void
 add_free(struct sched *s, const char *service, struct sched_headroom *room)
 {
@@ -119,7 +123,7 @@
 add_step(struct sched_step *step, void *ctx)
 {
 	struct sched_headroom *room;
-	uint32_t away;
+	uint32_t inactive;
 
 	room = ctx;
 	if (!step->open)
@@ -129,8 +133,8 @@
 		    (int64_t)step->nactive * step->spec->size.cpu_millis;
 	if (!step->spec->lasts || step->nactive >= step->spec->count)
 		return;
-	away = step->spec->count - step->nactive;
-	room->owed += (int64_t)away * step->spec->size.cpu_millis;
+	inactive = step->spec->count - step->nactive;
+	room->owed += (int64_t)inactive * step->spec->size.cpu_millis;
 }
 
 void
--- a/core/sched_health.c
+++ b/core/sched_health.c
@@ -1,31 +1,34 @@
 #include "sched_int.h"
 
 /*
- * Workers that fail what they start look idle and attract work.  One where
- * tasks of two jobs failed with no success in between gets nothing for a
- * while, then one task at a time until one succeeds.  A job that fails
- * everywhere counts once at each worker, so it discredits none alone.
+ * A worker that fails every task looks idle and attracts work.  One where tasks
+ * of FAILED_JOBS_MAX jobs failed with no success in between gets no tasks for a
+ * while, then one at a time until one succeeds.  Consecutive failures of one
+ * job count once at each worker, so a job that fails everywhere does not block
+ * workers by itself.  The pause begins at PROBE_FIRST_MS and doubles with each
+ * failure of a further job, up to PROBE_MAX_SHIFT times.
  */
-#define FAILED_ROW 2
+#define FAILED_JOBS_MAX 2
 #define PROBE_FIRST_MS 1500
 #define PROBE_MAX_SHIFT 2
 /*
- * A run without a percent of progress for so long, and for this share of its
- * declared run time, stands still: its worker hangs, or it is a filler that a
- * former leader, or an order carried out late, has paced down.  Workers are
- * up to 8 times slower than declared and list what runs each second, so a
- * task that works moves by a percent or more in that time.
+ * A run is stalled if its progress did not advance by one percent for STALL_MS
+ * plus this share of its declared run time.  Its worker hangs, or it is a
+ * filler that was throttled by a former leader or by a pace order carried out
+ * late.  Workers are up to 8 times slower than declared and list their runs
+ * each second, so a running task progresses by at least one percent in that
+ * time.
  */
-#define STILL_MS 1200
-#define STILL_SHARE 0.2
-/* Weight of a new measurement in the learnt figures. */
-#define WORKER_WEIGHT 0.25
-#define QUEUE_WEIGHT 0.02
-/* Runs shorter than this say little about speed, in milliseconds. */
+#define STALL_MS 1200
+#define STALL_RUN_SHARE 0.2
+/* Weights of a new measurement in the exponential moving averages. */
+#define WORKER_SPEED_WEIGHT 0.25
+#define QUEUE_RATIO_WEIGHT 0.02
+/* Shorter runs are ignored, as they say little about the speed. */
 #define SPEED_MIN_MS 100
 
 static void
-learn_speed(
+update_speed(
     struct sched_worker *worker, const struct sched_run *run, int64_t now_ms)
 {
 	const struct graph_step *spec;
@@ -38,9 +41,9 @@
 		return;
 	queue = task_job(run->task)->queue;
 	ratio = (double)(now_ms - run->begun_ms) / (double)spec->estimate_ms;
-	queue->run_ratio += QUEUE_WEIGHT * (ratio - queue->run_ratio);
+	queue->run_ratio += QUEUE_RATIO_WEIGHT * (ratio - queue->run_ratio);
 	worker->speed +=
-	    WORKER_WEIGHT * (ratio / queue->run_ratio - worker->speed);
+	    WORKER_SPEED_WEIGHT * (ratio / queue->run_ratio - worker->speed);
 }
 
 void
@@ -51,7 +54,7 @@
 	worker->failed_job = NULL;
 	worker->probe_ms = 0;
 	if (run != NULL)
-		learn_speed(worker, run, now_ms);
+		update_speed(worker, run, now_ms);
 }
 
 void
@@ -64,43 +67,42 @@
 		return;
 	worker->failed_job = job;
 	worker->failed_row++;
-	if (worker->failed_row < FAILED_ROW)
+	if (worker->failed_row < FAILED_JOBS_MAX)
 		return;
-	shift = worker->failed_row - FAILED_ROW;
+	shift = worker->failed_row - FAILED_JOBS_MAX;
 	if (shift > PROBE_MAX_SHIFT)
 		shift = PROBE_MAX_SHIFT;
 	worker->probe_ms = now_ms + (PROBE_FIRST_MS << shift);
 }
 
-/* A task was placed on a worker under suspicion: wait for its end. */
+/* Pauses further starts on a worker under probe after one was placed. */
 void
 health_task_placed(struct sched_worker *worker, int64_t now_ms)
 {
-	if (worker->failed_row >= FAILED_ROW)
+	if (worker->failed_row >= FAILED_JOBS_MAX)
 		worker->probe_ms = now_ms + PROBE_FIRST_MS;
 }
 
 /*
- * Its worker has listed the run again and again without progress.  A task
- * that lasts has no progress to show, and members of a gang may wait for the
- * others.
+ * The worker has kept listing the run without progress.  Long-running tasks
+ * report no progress, and members of a gang may wait for each other.
  */
 static bool
-stands_still(const struct sched_run *run, int64_t now_ms)
+is_stalled(const struct sched_run *run, int64_t now_ms)
 {
 	const struct graph_step *spec;
-	int64_t still_ms, since_ms;
+	int64_t stall_ms, since_ms;
 
 	spec = run->task->step->spec;
 	if (run->state != RUN_RUNNING || run->stop_wanted || spec->lasts ||
 	    spec->gang || run->pace_pending || run->pace == 0)
 		return false;
-	still_ms =
-	    STILL_MS + (int64_t)(STILL_SHARE * (double)spec->estimate_ms);
+	stall_ms =
+	    STALL_MS + (int64_t)(STALL_RUN_SHARE * (double)spec->estimate_ms);
 	since_ms =
 	    run->paced_ms > run->percent_ms ? run->paced_ms : run->percent_ms;
-	return run->listed_ms - since_ms >= still_ms &&
-	    now_ms - run->listed_ms < STILL_MS;
+	return run->listed_ms - since_ms >= stall_ms &&
+	    now_ms - run->listed_ms < STALL_MS;
 }
 
 void
@@ -110,7 +112,7 @@
 	struct sched_run *run;
 
 	TAILQ_FOREACH (run, &worker->runs, by_worker) {
-		if (!stands_still(run, now_ms))
+		if (!is_stalled(run, now_ms))
 			continue;
 		s->counts.stalled++;
 		if (run->task->step->spec->filler &&
--- a/core/sched_inherit.c
+++ b/core/sched_inherit.c
@@ -6,14 +6,15 @@
 #include "sched_int.h"
 
 /*
- * What earlier leaders may have left on workers that haven't answered this
- * one.  A task that no worker lists may run on such a worker; it waits until
- * the worker has answered, is over, or all that runs there has lapsed.
+ * Tasks that earlier leaders may have left on workers that have not answered
+ * this leader.  A task that no worker lists may run on such a worker; it waits
+ * until the worker has answered, its incarnation is over, or all leases there
+ * have expired.
  *
- * The record names the tasks of workers where nobody starts anything any more.
- * Only these wait for that worker.  If all tasks waited for each silent
- * worker, then none would start while workers go on leaving and leaders follow
- * each other: there would always be one that has just gone.
+ * The worker record names the tasks of workers on which no leader starts
+ * anything any more, and only these tasks wait for such a worker.  If all tasks
+ * waited for each silent worker, none would start while workers keep leaving
+ * and leaders succeed each other, as some worker would always have just gone.
  */
 
 void
@@ -30,7 +31,7 @@
 	worker->inherited_tasks =
 	    reallocarray(NULL, from->ntasks + 1, sizeof(struct task_name));
 	if (worker->inherited_tasks == NULL)
-		return; /* not known: anything */
+		return; /* NULL: any task may run there */
 	if (from->ntasks > 0)
 		memcpy(worker->inherited_tasks, from->tasks,
 		    from->ntasks * sizeof(struct task_name));
@@ -77,17 +78,17 @@
 }
 
 static uint64_t
-key_of(const struct task_name *name)
+hash_task_name(const struct task_name *name)
 {
-	uint64_t key;
+	uint64_t hash;
 
-	key = XXH64(name->job, strlen(name->job), name->occurrence);
-	key = XXH64(&name->step, sizeof(name->step), key);
-	return XXH64(&name->index, sizeof(name->index), key);
+	hash = XXH64(name->job, strlen(name->job), name->occurrence);
+	hash = XXH64(&name->step, sizeof(name->step), hash);
+	return XXH64(&name->index, sizeof(name->index), hash);
 }
 
 static int
-compare_keys(const void *a, const void *b)
+hash_cmp(const void *a, const void *b)
 {
 	const uint64_t *left, *right;
 
@@ -96,27 +97,28 @@
 	return *left < *right ? -1 : *left > *right;
 }
 
-/* Without memory for their names, all tasks wait. */
+/* If memory is short or the tasks are unknown, all tasks wait. */
 static void
-add_left(struct sched *s, const struct sched_worker *worker)
+add_inherited_tasks(struct sched *s, const struct sched_worker *worker)
 {
-	uint64_t *keys;
+	uint64_t *hashes;
 	size_t i;
 
 	if (worker->inherited_tasks == NULL) {
 		s->any_task_inherited = true;
 		return;
 	}
-	keys = reallocarray(s->inherited_hashes,
-	    s->ninherited_hashes + worker->ninherited_tasks + 1, sizeof(*keys));
-	if (keys == NULL) {
+	hashes = reallocarray(s->inherited_hashes,
+	    s->ninherited_hashes + worker->ninherited_tasks + 1,
+	    sizeof(*hashes));
+	if (hashes == NULL) {
 		s->any_task_inherited = true;
 		return;
 	}
-	s->inherited_hashes = keys;
+	s->inherited_hashes = hashes;
 	for (i = 0; i < worker->ninherited_tasks; i++)
 		s->inherited_hashes[s->ninherited_hashes++] =
-		    key_of(&worker->inherited_tasks[i]);
+		    hash_task_name(&worker->inherited_tasks[i]);
 }
 
 void
@@ -125,17 +127,17 @@
 	s->record_lost = true;
 }
 
-/* Workers that only the lost record knew have lapsed. */
+/* Ends the wait for workers that only the lost record named. */
 static void
-check_lost(struct sched *s, int64_t now_ms)
+check_record_lost(struct sched *s, int64_t now_ms)
 {
-	int64_t lapses_ms;
+	int64_t expiry_ms;
 
-	lapses_ms = lease_former_expiry_ms(s);
-	if (now_ms >= lapses_ms)
+	expiry_ms = lease_former_expiry_ms(s);
+	if (now_ms >= expiry_ms)
 		s->record_lost = false;
 	else
-		sched_due(s, lapses_ms);
+		sched_due(s, expiry_ms);
 }
 
 void
@@ -147,8 +149,11 @@
 	if (s->unsettled == 0)
 		return;
 	if (s->record_lost)
-		check_lost(s, now_ms);
-	/* Serials and not a number: one may come as another goes. */
+		check_record_lost(s, now_ms);
+	/*
+	 * Hashes of serials, not a count: one worker may be added as another
+	 * is settled.
+	 */
 	unsettled = s->record_lost ? 1 : 0;
 	RB_FOREACH (worker, sched_worker_tree, &s->workers) {
 		if (worker->inherited != RECORD_NONE &&
@@ -167,13 +172,13 @@
 		if (worker->inherited == RECORD_NONE ||
 		    sched_worker_settled(worker))
 			continue;
-		add_left(s, worker);
+		add_inherited_tasks(s, worker);
 		if (worker->inherited == RECORD_IN_USE)
 			s->former_leader_active = true;
 	}
 	if (s->ninherited_hashes > 1)
 		qsort(s->inherited_hashes, s->ninherited_hashes,
-		    sizeof(*s->inherited_hashes), compare_keys);
+		    sizeof(*s->inherited_hashes), hash_cmp);
 }
 
 bool
@@ -181,20 +186,20 @@
 {
 	const struct sched_job *job;
 	struct task_name name;
-	uint64_t key;
+	uint64_t hash;
 
 	job = task_job(task);
 	/*
-	 * The last leader may have been told of a job while it didn't know yet
-	 * that it was replaced.  It started nothing any more where the record
-	 * says that nobody does.
+	 * The former leader may have received the job before it noticed that it
+	 * was replaced.  It starts nothing on workers whose record says that
+	 * nothing is started there.
 	 */
 	if (job->origin != ORIGIN_INHERITED)
 		return job->origin == ORIGIN_OVERLAP && s->former_leader_active;
 	if (s->any_task_inherited || s->ninherited_hashes == 0)
 		return s->any_task_inherited;
 	sched_task_name(task, &name);
-	key = key_of(&name);
-	return bsearch(&key, s->inherited_hashes, s->ninherited_hashes,
-		   sizeof(key), compare_keys) != NULL;
+	hash = hash_task_name(&name);
+	return bsearch(&hash, s->inherited_hashes, s->ninherited_hashes,
+		   sizeof(hash), hash_cmp) != NULL;
 }
--- a/core/sched_int.h
+++ b/core/sched_int.h
@@ -3,7 +3,7 @@
 
 #include "scheduler.h"
 
-/* Shared by the files of the scheduler; not for its callers. */
+/* Internal interfaces of the scheduler, shared by the sched_*.c files. */
 
 /* sched_job.c */
 void job_mark_dirty(struct sched *, struct sched_job *);
@@ -16,17 +16,22 @@
 void task_failed(
     struct sched *, struct sched_task *, uint32_t attempt, int64_t now_ms);
 void task_set_checkpoint(struct sched_task *, const char *);
-/* A task that a former leader's progress names; NULL: there is none. */
+/*
+ * Returns a task named in the progress saved by a former leader and marks its
+ * job as begun.  NULL if the job has no such task or memory is short.
+ */
 struct sched_task *job_loaded_task(
     struct sched_job *, uint32_t number, uint32_t step, uint32_t index);
-/* It can't be done: it ends as failed. */
+/* Ends an open job as failed. */
 void job_fail(struct sched *, struct sched_job *, int64_t now_ms);
 struct sched_job *task_job(const struct sched_task *);
+/* Takes the task off the waiting list of its step and sets its state. */
 void task_dequeue(struct sched_task *, enum sched_task_state);
 void job_discard(struct sched *, struct sched_job *);
-/* The steps of occurrences that aren't done. */
+/* Calls the function for each step of the occurrences that are not done. */
 void job_each_step(const struct sched_job *,
     void (*)(struct sched_step *, void *ctx), void *ctx);
+/* Removes ended jobs whose retention time is over. */
 void job_retire_old(struct sched *, int64_t now_ms);
 
 /* sched_run.c */
@@ -35,145 +40,168 @@
 struct sched_run *run_find(
     struct sched_worker *, const struct task_name *, uint32_t attempt);
 uint32_t run_next_attempt(const struct sched *, const struct sched_task *);
-/* The attempt is surely over: give its room back.  It is freed. */
+/* Frees a run that is surely over and releases its reservation. */
 void run_settle(struct sched *, struct sched_run *);
 void run_want_stop(struct sched *, struct sched_run *);
-/* The task's runs elsewhere are no longer needed. */
+/* Stops all runs of the task except the given one, which may be NULL. */
 void run_stop_others(
     struct sched *, struct sched_task *, const struct sched_run *);
-/* After a run was settled without a counting end. */
+/*
+ * Queues the task again after a run was settled, unless it is done, its job
+ * has ended or another run of it is left.
+ */
 void run_requeue(
     struct sched *, struct sched_task *, int64_t not_before_ms, int64_t now_ms);
+/* Sends the stop requests that are due at the worker. */
 void run_step(struct sched *, struct sched_worker *, int64_t now_ms);
 
 /* sched_answer.c */
-/* Runs of the job that workers listed before it was known. */
+/* Adopts runs of a new job that workers listed before it was known. */
 void adopt_strays(struct sched *, struct sched_job *, int64_t now_ms);
 
 /* sched_worker.c */
+/* Another incarnation answers: all that ran on this one is over. */
 void worker_incarnation_ended(
     struct sched *, struct sched_worker *, int64_t now_ms);
 void worker_call_failed(struct sched *, struct sched_worker *, int64_t now_ms);
-/* Something happened to it: its step is due. */
+/* Makes the worker due in the next pass. */
 void worker_schedule(struct sched *, struct sched_worker *);
-/* The steps that are due. */
+/* Processes the workers that are due. */
 void worker_run_due(struct sched *, int64_t now_ms);
 void worker_drop_strays(struct sched_worker *);
 void worker_free(struct sched *, struct sched_worker *);
+/* New tasks may be started on the worker. */
 bool worker_usable(const struct sched_worker *, int64_t now_ms);
+/* Advances the acknowledgement past ends whose jobs are saved. */
 void worker_acknowledge(struct sched_worker *);
 
 /* sched_crash.c */
-/* That life is over, and all that ran there.  Call before it is settled. */
+/*
+ * Accounts for the crash of a worker and the loss of its runs.  Call before
+ * the runs are settled.
+ */
 void crash_worker_lost(
     struct sched *, struct sched_worker *, enum sched_loss, int64_t now_ms);
-/* The same of one where nothing ran, as it is forgotten. */
+/* Accounts for the loss of a worker without runs when it is removed. */
 void crash_idle_worker_lost(struct sched *, const struct sched_worker *);
-/* What became of a worker that had lapsed. */
+/* Confirms or refutes the crash of a worker whose lease had expired. */
 void crash_resolve(struct sched *, const struct sched_worker *, enum sched_loss,
     int64_t now_ms);
-/* It is in the list: what was at its address before has crashed. */
+/*
+ * The worker is listed: confirms the crash of earlier incarnations at its
+ * address.
+ */
 void crash_worker_listed(
     struct sched *, const struct sched_worker *, int64_t now_ms);
+/* Updates the crash rate and drops unresolved incarnations that are old. */
 void crash_update_rate(struct sched *, int64_t now_ms);
 void crash_free(struct sched *);
 
 /* sched_loss.c */
-/* The run went down with its worker. */
+/* Records that a run was lost with its worker. */
 void loss_record(
     struct sched *, struct sched_run *, enum sched_loss, int64_t now_ms);
-/* The crash of its worker is sure, or it is up after all. */
+/* Confirms or refutes the crash behind a recorded loss. */
 void loss_resolve(struct sched *, const struct task_name *, uint32_t attempt,
     const char *worker, enum sched_loss, int64_t now_ms);
-/* The run ended without its worker. */
+/* Records that a run ended while its worker stayed up. */
 void loss_survived(
     struct sched_task *, const struct sched_run *, int64_t now_ms);
-/* The task may crash the worker that starts it. */
+/* The task is suspected of crashing workers. */
 bool loss_is_suspect(const struct sched *, const struct sched_task *);
-/* So long nothing else is started beside a suspect. */
+/* How long nothing else is started on the worker of a suspect task. */
 int64_t loss_isolation_ms(const struct sched_task *);
-/* Its next start waits until its losses are saved. */
+/* The next start of the task has to wait until its losses are saved. */
 bool loss_awaits_save(const struct sched_task *, int64_t now_ms);
-/* When a task that went down with its worker may start again. */
+/* When a task that was lost with its worker may start again. */
 int64_t loss_retry_at_ms(
     const struct sched *, const struct sched_task *, int64_t now_ms);
 
 /* sched_lease.c */
+/* Records an answer and the reading of the worker's clock in it. */
 void worker_note_answer(
     struct sched *, struct sched_worker *, int64_t clock_ms, int64_t now_ms);
-/* Its clock now, as far as it is known. */
+/* Lower bound of the worker's clock. */
 int64_t worker_clock(const struct sched_worker *, int64_t now_ms);
-/* When its clock has surely passed a time on it. */
+/* Local time by which the worker's clock has surely passed worker_ms. */
 int64_t worker_deadline_local_ms(
     const struct sched_worker *, int64_t worker_ms);
-/* When a worker that hasn't answered this leader has surely lapsed. */
+/*
+ * When the leases of a worker that has not answered this leader and has no
+ * expiry in the worker record have surely expired.
+ */
 int64_t lease_former_expiry_ms(const struct sched *);
-/* When all that runs there has surely lapsed. */
+/* When all leases on the worker have surely expired. */
 int64_t lease_expiry_ms(const struct sched *, const struct sched_worker *);
-/* For a look that is sent now: until when it renews; 0: it doesn't. */
+/*
+ * Lease deadline, on the worker's clock, for a poll sent now; 0 if the poll
+ * does not renew the lease.
+ */
 int64_t lease_renew(
     const struct sched *, struct sched_worker *, int64_t now_ms);
-/* It has been silent so long that its lease is left to expire. */
+/* The worker has been silent so long that its lease is not renewed. */
 bool worker_is_silent(const struct sched_worker *, int64_t now_ms);
-/* Bring what a next leader needs to know of it up to date. */
+/* Updates what the worker record tells the next leader of the worker. */
 void lease_update_record(struct sched *, struct sched_worker *, int64_t now_ms);
 void lease_request_record(
     struct sched *, struct sched_worker *, enum worker_record);
 
 /* sched_inherit.c */
-/* It is known that nothing runs there. */
+/* It is known that nothing runs on the worker. */
 bool worker_is_empty(const struct sched_worker *);
+/* Recomputes which tasks may run on workers of former leaders. */
 void inherit_update(struct sched *, int64_t now_ms);
-/* The task may run on a worker that hasn't answered this leader. */
+/* The task may be running on a worker that has not answered this leader. */
 bool inherit_blocks(const struct sched *, const struct sched_task *);
 
 /* sched_place.c */
 void place_waiting(struct sched *, int64_t now_ms);
-/* A worker would take the task now. */
+/* Some worker has room for the task now. */
 bool place_has_room(struct sched *, const struct sched_task *, int64_t now_ms);
 
 /* sched_headroom.c */
-/* A step of the queue may run now. */
+/* Adds a step that was opened to the measured demand of its queue. */
 void headroom_add_demand(
     struct sched_queue *, const struct graph_step *, int64_t now_ms);
 
 /* sched_leave.c */
-/* Stop what lasts on workers that leave, so that it goes on elsewhere. */
+/* Stops long-running tasks on draining workers to restart them elsewhere. */
 void drain_move_tasks(struct sched *, int64_t now_ms);
 
 /* sched_rank.c */
-/* Higher goes first. */
+/* Jobs of higher rank are placed first. */
 double rank_job(const struct sched_job *, int64_t now_ms);
-/* For qsort() over pointers to jobs by their ranks, highest first. */
+/* Compares pointers to jobs for qsort(), highest rank first. */
 int rank_cmp(const void *, const void *);
 
 /* sched_share.c */
-/* The worker has just listed what runs: learn from it, and set paces. */
+/* Learns from the worker's latest list of runs and adjusts the paces. */
 void share_update(struct sched *, struct sched_worker *, int64_t now_ms);
-/* Fillers came, went, or were paced. */
+/* Updates the filler usage after fillers started, ended or changed pace. */
 void share_update_usage(struct sched *, struct sched_worker *, int64_t now_ms);
-/* The share of the worker's processors that a task uses. */
+/* Fraction of the worker's processors that a task of the step uses. */
 double share_cpu_fraction(const struct sched *, const struct sched_worker *,
     const struct graph_step *);
 /*
- * How near a serving task there comes to its target beside one more filler
- * that uses this share of the worker: over 1 it is late.
+ * Highest load of the serving tasks there relative to the load at which they
+ * miss their targets, with one more filler that uses this share of the
+ * worker.  Over 1 a serving task is late.
  */
 double share_load_ratio(const struct sched *, const struct sched_worker *,
     int filler_image, double share);
-/* Rise of the load of all serving tasks there by it. */
+/* Load that such a filler adds to all serving tasks there. */
 double share_added_load(const struct sched *, const struct sched_worker *,
     int filler_image, double share);
-/* A filler stands still though it may work: tell its worker again. */
+/* Sends the pace of a stalled filler to its worker again. */
 void share_resend_pace(struct sched *, struct sched_run *, int64_t now_ms);
 void share_count_serving(
     struct sched_worker *, int image, int64_t target_ms, int change);
 
 /* sched_use.c */
 void use_init(struct sched *);
-/* The worker has just listed what runs. */
+/* Learns the use of processors from the worker's latest list of runs. */
 void use_update(struct sched *, const struct sched_worker *, int64_t now_ms);
-/* Processors that nobody there is thought to use, in thousandths. */
+/* Estimate of the processors not in use there, in thousandths. */
 int64_t use_idle_cpu(const struct sched *, const struct sched_worker *);
 
 /* sched_health.c */
@@ -182,9 +210,12 @@
 void health_task_failed(
     struct sched_worker *, const struct sched_job *, int64_t now_ms);
 void health_task_placed(struct sched_worker *, int64_t now_ms);
+/* Handles runs on the worker that make no progress. */
 void health_check_progress(
     struct sched *, struct sched_worker *, int64_t now_ms);
 
+/* sched.c */
+/* Makes sched_act() due at that time at the latest. */
 void sched_due(struct sched *, int64_t at_ms);
 uint64_t sched_random(struct sched *);
 
--- a/core/sched_job.c
+++ b/core/sched_job.c
@@ -3,7 +3,7 @@
 
 #include "sched_int.h"
 
-/* Jobs: their steps, their tasks' ends, and what of them is to be saved. */
+/* Jobs: their steps, the ends of their tasks, and which jobs to save. */
 
 static struct sched_occurrence *occurrence_get(struct sched_job *, uint32_t);
 static struct sched_task *step_tasks(struct sched_step *);
@@ -143,7 +143,7 @@
 	}
 }
 
-/* false: that attempt is counted already, or there is no memory. */
+/* Returns false if the attempt was counted before or memory is short. */
 static bool
 count_failure(struct sched_task *task, uint32_t attempt)
 {
@@ -182,7 +182,7 @@
 		task_set_checkpoint(task, checkpoint);
 }
 
-/* Steps that were complete when the former leader saved the job. */
+/* Counts the steps that were complete when the former leader saved the job. */
 static void
 count_complete_steps(struct sched_job *job)
 {
@@ -256,9 +256,11 @@
 }
 
 /*
- * The step's tasks, made when first needed.  Of an occurrence that a former
- * leader saw done only that is saved: told of an end in it again, we would
- * count the occurrence twice and end the job before its last one has run.
+ * Returns the tasks of the step, allocated on first use; NULL if memory is
+ * short.  Of an occurrence that a former leader completed, only the completion
+ * is saved.  Its tasks are created as done: else an end reported again would
+ * count the occurrence twice and end the job before its last occurrence has
+ * run.
  */
 static struct sched_task *
 step_tasks(struct sched_step *step)
@@ -311,7 +313,7 @@
 	name->index = task->index;
 }
 
-/* Occurrences whose time has come; a job that isn't repeated has one. */
+/* Opens the occurrences that are due; a job that is not repeated has one. */
 void
 job_open_due(struct sched *s, struct sched_job *job, int64_t now_ms)
 {
@@ -350,7 +352,7 @@
 	size_t i;
 
 	if (occurrence->steps_done == occurrence->job->graph->nsteps) {
-		/* Saved in between its last step and its own end. */
+		/* Saved after its last step but before its own completion. */
 		step = &occurrence->steps[0];
 		occurrence->steps_done--;
 		step_completed(s, step, now_ms);
@@ -415,7 +417,6 @@
 		sched_due(s, not_before_ms);
 }
 
-/* Off the waiting list, for a run or an end. */
 void
 task_dequeue(struct sched_task *task, enum sched_task_state state)
 {
@@ -427,21 +428,21 @@
 }
 
 static void
-keep_checkpoint(struct sched_task *task, const char *checkpoint)
+replace_checkpoint(struct sched_task *task, const char *checkpoint)
 {
 	char *copy;
 
 	if (task->checkpoint != NULL &&
 	    strcmp(task->checkpoint, checkpoint) == 0)
 		return;
-	/* Without memory the older one stays: more is done again, no more. */
+	/* If memory is short, the older one stays and more work is repeated. */
 	if ((copy = strdup(checkpoint)) == NULL)
 		return;
 	free(task->checkpoint);
 	task->checkpoint = copy;
 }
 
-/* That of any member holds for its gang, which resumes from one point. */
+/* A gang resumes from one checkpoint, so all its tasks get the newest. */
 void
 task_set_checkpoint(struct sched_task *task, const char *checkpoint)
 {
@@ -452,11 +453,11 @@
 		return;
 	step = task->step;
 	if (!step->spec->gang) {
-		keep_checkpoint(task, checkpoint);
+		replace_checkpoint(task, checkpoint);
 		return;
 	}
 	for (i = 0; i < step->spec->count; i++)
-		keep_checkpoint(&step->tasks[i], checkpoint);
+		replace_checkpoint(&step->tasks[i], checkpoint);
 }
 
 void
@@ -496,36 +497,36 @@
 		job_end(s, job, JOB_COMPLETED, now_ms);
 }
 
-/* A gang fails as a whole; its failures are counted on its first task. */
+/* A gang fails as a whole, so its failures are counted on its first task. */
 static struct sched_task *
-failure_holder(struct sched_task *task)
+failure_task(struct sched_task *task)
 {
 	return task->step->spec->gang ? &task->step->tasks[0] : task;
 }
 
 /*
- * An end that a former leader saved but didn't acknowledge is told again,
- * and ends at several workers come in any order.  Counted twice, the job
- * would be given up too early, and left out, tried too often: so the attempts
- * that failed are kept by number.
+ * The numbers of failed attempts are kept, since ends may arrive twice and in
+ * any order: workers report again what a former leader saved but did not
+ * acknowledge.  If a failure were counted twice, the job would fail too early;
+ * if it were not counted, the task would be tried too often.
  */
 void
 task_failed(
     struct sched *s, struct sched_task *task, uint32_t attempt, int64_t now_ms)
 {
-	struct sched_task *holder;
+	struct sched_task *counted;
 	struct sched_job *job;
 
 	job = task_job(task);
 	if (job->in_ended || task->state == SCHED_DONE)
 		return;
-	holder = failure_holder(task);
-	if (!count_failure(holder, attempt))
+	counted = failure_task(task);
+	if (!count_failure(counted, attempt))
 		return;
 	s->counts.failures++;
 	job_mark_dirty(s, job);
 	if (!task->step->spec->lasts &&
-	    holder->failures >= job->queue->terms.max_attempts)
+	    counted->failures >= job->queue->terms.max_attempts)
 		job_end(s, job, JOB_FAILED, now_ms);
 }
 
@@ -544,9 +545,9 @@
 		job_end(s, job, JOB_CANCELLED, now_ms);
 }
 
-/* Call on every task of the job that was made. */
+/* Calls the function on every allocated task of the job. */
 static void
-each_task(struct sched *s, struct sched_job *job,
+visit_tasks(struct sched *s, struct sched_job *job,
     void (*visit)(struct sched *, struct sched_task *))
 {
 	struct sched_occurrence *occurrence;
@@ -567,7 +568,7 @@
 }
 
 static void
-drop_task(struct sched *s, struct sched_task *task)
+stop_task(struct sched *s, struct sched_task *task)
 {
 	if (task->state == SCHED_WAITING)
 		task_dequeue(task, SCHED_BLOCKED);
@@ -584,7 +585,7 @@
 	TAILQ_REMOVE(&s->open, job, link);
 	TAILQ_INSERT_TAIL(&s->ended, job, link);
 	TAILQ_INSERT_TAIL(&s->ending, job, ending_link);
-	each_task(s, job, drop_task);
+	visit_tasks(s, job, stop_task);
 	job_mark_dirty(s, job);
 	s->place_wanted = true;
 }
@@ -720,9 +721,9 @@
 	free(job);
 }
 
-/* Free the tasks of ended jobs whose runs are settled. */
+/* Frees the graphs and tasks of ended jobs whose runs are all settled. */
 static void
-release_ended(struct sched *s)
+free_ended_bodies(struct sched *s)
 {
 	struct sched_job *job, *next;
 
@@ -736,15 +737,15 @@
 }
 
 /*
- * Forget jobs whose state callers may no longer ask for.  Acknowledgements
- * that wait for one are gone by then: it has been saved.
+ * Removes jobs that ended more than keep_ms ago, whose state callers may no
+ * longer query.  No pending acknowledgement refers to them, as they are saved.
  */
 void
 job_retire_old(struct sched *s, int64_t now_ms)
 {
 	struct sched_job *job, *next;
 
-	release_ended(s);
+	free_ended_bodies(s);
 	for (job = TAILQ_FIRST(&s->ended); job != NULL; job = next) {
 		next = TAILQ_NEXT(job, link);
 		if (job->ended_ms + s->opt.keep_ms > now_ms)
--- a/core/sched_lease.c
+++ b/core/sched_lease.c
@@ -1,43 +1,48 @@
 #include "sched_int.h"
 
 /*
- * Leases of what runs on workers: until when each is renewed, when all there
- * has surely lapsed, and what the store's record says of it to a next leader.
- * A lease is counted on the worker's own clock and never shortens.
+ * Leases of the tasks that run on workers: how far each is renewed, when all
+ * leases on a worker have surely expired, and what the worker record in the
+ * store tells the next leader of it.  A lease deadline is a time on the
+ * worker's own clock and never moves back.
  */
 
-/* A worker's clock may run slower than ours, by 2 % and some reserve. */
-#define SLOW_CLOCK 1.03
-/* Reserve for the way of an order and for timers, in milliseconds. */
-#define LAPSE_MARGIN_MS 150
+/* A worker's clock may run slower than ours by 2 %; the rest is margin. */
+#define CLOCK_SLOW_FACTOR 1.03
+/* Margin for the delay of a request and of timers. */
+#define EXPIRY_MARGIN_MS 150
 /*
- * After so many calls in a row without an answer, over so long, the lease is
- * left to expire, and the record says so.  One lost answer, or some on one
- * connection that broke, are no reason for a write.
+ * A worker is silent after this many consecutive calls without an answer over
+ * at least this time.  Its lease is then no longer renewed, and the worker
+ * record says so.  One lost answer, or several on one broken connection, do not
+ * justify a write to the store.
  */
-#define EXPIRE_MISSES 2
-#define EXPIRE_MS 250
+#define SILENT_MISSES 2
+#define SILENT_MS 250
 /*
- * What runs on a worker that has said when it leaves is renewed to no later
- * than this after that time: its tasks wait no whole lease to be started
- * elsewhere.  While it stays longer it is renewed by as much.
+ * The lease of a draining worker with a known leave time is renewed to at most
+ * this long after that time, so that its tasks do not wait a whole lease to be
+ * restarted elsewhere.  If the worker stays longer, the lease is renewed to
+ * this long after the current time.
  */
 #define LEAVE_LEASE_MS INT64_C(2500)
 /*
- * It is left to expire with this much beyond that time, as workers stay a
- * little longer than they say, and renewed again with less: enough for a look
- * that is under way, a write and another look.
+ * The lease is no longer renewed once it extends LEAVE_COVER_MS past the leave
+ * time, as workers stay a little longer than announced.  It is renewed again
+ * when it extends less than LEAVE_SPARE_MS past that time: enough for a poll
+ * under way, a write to the store and another poll.
  */
 #define LEAVE_COVER_MS 2000
 #define LEAVE_SPARE_MS 800
 
 /*
- * With its first answer the worker has seen our term, and a former leader
- * can't renew any more; until then it may have, by a whole lease.  The clock
- * was read no sooner than the look was sent.
+ * Bounds the leases granted by former leaders at the first answer of a worker.
+ * The worker has then seen our term and accepts no renewal from a former
+ * leader; before that, one may have renewed by a whole lease.  The worker read
+ * its clock no earlier than the poll was sent.
  */
 static void
-first_heard(
+init_granted(
     const struct sched *s, struct sched_worker *worker, int64_t clock_ms)
 {
 	int64_t left_ms;
@@ -54,12 +59,12 @@
     int64_t clock_ms, int64_t now_ms)
 {
 	if (worker->heard_ms == 0)
-		first_heard(s, worker, clock_ms);
+		init_granted(s, worker, clock_ms);
 	worker->misses = 0;
 	if (worker->lapsed)
 		crash_resolve(s, worker, LOSS_REFUTED, now_ms);
 	worker->lapsed = false;
-	/* An answer that others have overtaken tells an earlier time. */
+	/* An answer overtaken by later ones carries an older clock reading. */
 	if (worker->heard_ms != 0 && clock_ms < worker_clock(worker, now_ms))
 		return;
 	worker->heard_ms = now_ms;
@@ -67,14 +72,14 @@
 }
 
 /*
- * No more than it surely is: with more, a lease granted by it would outlast
- * what a next leader waits for.
+ * Lower bound of the worker's clock.  With a higher value, a lease granted from
+ * it could outlast the time that the next leader waits for.
  */
 int64_t
 worker_clock(const struct sched_worker *worker, int64_t now_ms)
 {
 	return worker->clock_ms +
-	    (int64_t)((double)(now_ms - worker->heard_ms) / SLOW_CLOCK);
+	    (int64_t)((double)(now_ms - worker->heard_ms) / CLOCK_SLOW_FACTOR);
 }
 
 int64_t
@@ -85,24 +90,26 @@
 	left = worker_ms - worker->clock_ms;
 	if (left < 0)
 		left = 0;
-	return worker->heard_ms + (int64_t)((double)left * SLOW_CLOCK) +
-	    LAPSE_MARGIN_MS;
+	return worker->heard_ms + (int64_t)((double)left * CLOCK_SLOW_FACTOR) +
+	    EXPIRY_MARGIN_MS;
 }
 
 int64_t
 lease_former_expiry_ms(const struct sched *s)
 {
 	return s->opt.taken_ms + s->opt.former_ms +
-	    (int64_t)((double)s->opt.lease_ms * SLOW_CLOCK) + LAPSE_MARGIN_MS;
+	    (int64_t)((double)s->opt.lease_ms * CLOCK_SLOW_FACTOR) +
+	    EXPIRY_MARGIN_MS;
 }
 
 /*
- * When all that runs there has surely lapsed.  One that hasn't answered this
- * leader may have been renewed by a former one, for former_ms into our term;
- * or the record says when it lapses.  Without the latter the wait would begin
- * anew with each leader, and what ran there would stay away as long as leaders
- * follow each other within a lease.  The word of the record holds, as nobody
- * renews while it says so, and it is changed on condition of the term.
+ * When all leases on the worker have surely expired.  A former leader may have
+ * renewed those of a worker that has not answered this leader, until former_ms
+ * into our term, unless the worker record holds an expiry time.  Without that
+ * time the wait would start again with each leader, and the tasks would not be
+ * restarted while leaders succeed each other within a lease.  The expiry time
+ * in the record is reliable: nobody renews while the record has it, and the
+ * record is changed only on condition of the term.
  */
 int64_t
 lease_expiry_ms(const struct sched *s, const struct sched_worker *worker)
@@ -126,7 +133,7 @@
 	return left_ms > 0 ? left_ms : 0;
 }
 
-/* The store surely has it as one whose lease may be renewed. */
+/* The worker record surely permits renewal of the lease. */
 static bool
 may_renew(const struct sched_worker *worker)
 {
@@ -134,9 +141,9 @@
 	    worker->record_wanted != RECORD_EXPIRING && worker->misses == 0;
 }
 
-/* Its clock when it leaves, or now if it has stayed longer, at the latest. */
+/* Upper bound of the worker's clock at its leave time, or now if later. */
 static int64_t
-clock_at_leaving(const struct sched_worker *worker, int64_t now_ms)
+leave_clock(const struct sched_worker *worker, int64_t now_ms)
 {
 	int64_t leaves_ms;
 
@@ -145,48 +152,48 @@
 }
 
 static bool
-says_when_it_leaves(const struct sched_worker *worker)
+has_leave_time(const struct sched_worker *worker)
 {
 	return worker->draining && worker->leaves_ms != 0;
 }
 
-/* Until when, on its clock, a look that is sent now renews what runs there. */
+/* Lease deadline, on the worker's clock, that a poll sent now may grant. */
 static int64_t
-renewed_to(
+renewal_deadline(
     const struct sched *s, const struct sched_worker *worker, int64_t now_ms)
 {
-	int64_t deadline_ms, most_ms;
+	int64_t deadline_ms, max_ms;
 
 	deadline_ms = worker_clock(worker, now_ms) + s->opt.lease_ms;
-	if (!says_when_it_leaves(worker))
+	if (!has_leave_time(worker))
 		return deadline_ms;
-	most_ms = clock_at_leaving(worker, now_ms) + LEAVE_LEASE_MS;
-	return deadline_ms < most_ms ? deadline_ms : most_ms;
+	max_ms = leave_clock(worker, now_ms) + LEAVE_LEASE_MS;
+	return deadline_ms < max_ms ? deadline_ms : max_ms;
 }
 
 /*
- * Its lease outlasts the time at which it said that it leaves, so it isn't
- * renewed for now.  A next leader then finds in the record how much is left,
- * where else it would have to wait for a whole lease and for what the last
- * leader may still have done.
+ * The lease extends far enough past the announced leave time that it is not
+ * renewed for now.  The next leader then finds the remaining time in the worker
+ * record.  Otherwise it would have to wait for a whole lease and for renewals
+ * that the former leader may still have sent.
  */
 static bool
-expires_by_leaving(const struct sched_worker *worker, int64_t now_ms)
+lease_covers_leave(const struct sched_worker *worker, int64_t now_ms)
 {
 	int64_t left_ms;
 
-	if (!says_when_it_leaves(worker))
+	if (!has_leave_time(worker))
 		return false;
-	left_ms = worker->granted_ms - clock_at_leaving(worker, now_ms);
+	left_ms = worker->granted_ms - leave_clock(worker, now_ms);
 	return left_ms >= (worker->record_wanted == RECORD_EXPIRING ?
 				  LEAVE_SPARE_MS :
 				  LEAVE_COVER_MS);
 }
 
 /*
- * A lease is renewed only while the worker answers and the record surely
- * doesn't have it expire.  Repeats to a silent one carry none, so that the time
- * of its lapse stays where it is.
+ * A lease is renewed only while the worker answers and the worker record surely
+ * does not say that it expires.  Repeated polls of a silent worker renew
+ * nothing, so that its expiry time does not move.
  */
 int64_t
 lease_renew(const struct sched *s, struct sched_worker *worker, int64_t now_ms)
@@ -196,7 +203,7 @@
 	if (worker->heard_ms == 0 || !may_renew(worker) || worker->dead ||
 	    s->frozen)
 		return 0;
-	deadline_ms = renewed_to(s, worker, now_ms);
+	deadline_ms = renewal_deadline(s, worker, now_ms);
 	if (deadline_ms > worker->granted_ms)
 		worker->granted_ms = deadline_ms;
 	return deadline_ms;
@@ -228,16 +235,17 @@
 bool
 worker_is_silent(const struct sched_worker *worker, int64_t now_ms)
 {
-	return worker->misses >= EXPIRE_MISSES &&
-	    now_ms - worker->silent_ms >= EXPIRE_MS;
+	return worker->misses >= SILENT_MISSES &&
+	    now_ms - worker->silent_ms >= SILENT_MS;
 }
 
 /*
- * With most workers silent it is rather our link that is cut.  Said to expire,
- * they couldn't be renewed when they answer again without the store.
+ * If most workers are silent, the fault is rather in our own network link.
+ * With RECORD_EXPIRING in the store, their leases could not be renewed when
+ * they answer again while the store is unavailable.
  */
 static void
-count_silent(struct sched *s, int64_t now_ms)
+update_most_silent(struct sched *s, int64_t now_ms)
 {
 	struct sched_worker *worker;
 	uint32_t listed, silent;
@@ -257,17 +265,16 @@
 	s->most_silent = 2 * silent > listed && silent > 1;
 }
 
-/* Of a worker that answers. */
+/* The record state of a worker that answers. */
 static enum worker_record
-record_of(const struct sched_worker *worker, int64_t now_ms)
+record_for_live(const struct sched_worker *worker, int64_t now_ms)
 {
 	if (!worker->draining)
 		return RECORD_IN_USE;
-	return expires_by_leaving(worker, now_ms) ? RECORD_EXPIRING :
+	return lease_covers_leave(worker, now_ms) ? RECORD_EXPIRING :
 						    RECORD_CLOSED;
 }
 
-/* What a next leader needs to know of it. */
 void
 lease_update_record(
     struct sched *s, struct sched_worker *worker, int64_t now_ms)
@@ -275,12 +282,13 @@
 	if (worker->record_wanted == RECORD_NONE)
 		return;
 	if (worker_is_silent(worker, now_ms))
-		count_silent(s, now_ms);
+		update_most_silent(s, now_ms);
 	if (worker->dead ||
 	    (worker_is_silent(worker, now_ms) && !s->most_silent))
 		lease_request_record(s, worker, RECORD_EXPIRING);
 	else if (worker->heard_ms != 0 && worker->misses == 0)
-		lease_request_record(s, worker, record_of(worker, now_ms));
+		lease_request_record(
+		    s, worker, record_for_live(worker, now_ms));
 	if (worker->record_wanted != RECORD_IN_USE && !worker->record_empty &&
 	    worker_is_empty(worker)) {
 		worker->record_empty = true;
