--- a/entry/lead.c
+++ b/entry/lead.c
@@ -5,39 +5,40 @@
 #include "log.h"
 #include "lead_int.h"
 
-/* The leading entry: it schedules all jobs and answers for them. */
+/* The leading entry: it schedules all jobs and answers requests about them. */
 
 /*
- * What was learnt goes to the store with a pulse so often, in milliseconds, as
- * often as members are told; less often while our link is full: it is some 10
- * KB, and what it says changes little.
+ * Interval in milliseconds at which the learned interference effects are
+ * written to the store, with the heartbeat key; members get them as often.  It
+ * is longer while the link is full: the value has about 10 KB and changes
+ * slowly.
  */
-#define LEARNT_EVERY_MS 2000
-#define LEARNT_FULL_MS 8000
+#define LEARNT_INTERVAL_MS 2000
+#define LEARNT_LINK_FULL_MS 8000
 
 /*
- * What runs holds a lease of at most this: long enough for a takeover, which
- * takes a second, and for all entries to start anew; short enough for work on
- * a lost worker to go on soon.
+ * Maximum lease of running tasks.  It outlasts a takeover, which takes a
+ * second, and a restart of all entries; a short lease lets the tasks of a lost
+ * worker continue elsewhere soon.
  */
 #define LEASE_MS 5000
-/* Without the store's word for so long we may be replaced without knowing. */
+/* Without a confirmation by the store for so long, another entry may lead. */
 #define STORE_LOST_MS 1200
-/* A repeated job begins a little late rather than early: clocks differ. */
+/* Clocks differ: occurrences of a repeated job start late rather than early. */
 #define DUE_MARGIN_MS 100
 
 /*
- * From so many workers on, members make the calls.  A leader with an eighth
- * of a core makes about 400 calls a second, and a worker takes 3 to 5.
+ * Number of workers from which on members relay the calls to them.  A leader
+ * with an eighth of a core makes about 400 calls a second, and a worker takes 3
+ * to 5.
  */
-#define CARRY_WORKERS 100
-/* One line on the fleet's load so often. */
-#define LOAD_MS 1000
-/* A member that greeted so recently follows us; greetings come each 0.5 s. */
+#define RELAY_WORKERS_MIN 100
+#define LOAD_LOG_INTERVAL_MS 1000
+/* A member whose last hello is no older follows us; it sends one each 0.5 s. */
 #define FOLLOWER_MS 1300
-/* Ticks come each 20 ms; after such a pause we were stopped meanwhile. */
+/* Ticks come each 20 ms; after a longer gap the process was suspended. */
 #define PAUSE_MS 500
-/* A step follows the events of one turn of the loop by so long. */
+/* Delay of a scheduling step, to cover all events of one loop iteration. */
 #define STEP_MS 1
 
 static void on_timer(uv_timer_t *);
@@ -92,11 +93,12 @@
 }
 
 /*
- * What the former leader had learnt.  Without it fillers go anywhere for some
- * seconds after a takeover, and serving tasks are late.
+ * Applies the effects that the former leader learned.  Without them fillers are
+ * placed regardless of interference for some seconds after a takeover, and
+ * serving tasks miss their targets.
  */
 static void
-take_learnt(struct lead *l, const json_t *pairs)
+apply_learnt(struct lead *l, const json_t *pairs)
 {
 	const char *serving, *filler;
 	const json_t *row;
@@ -121,7 +123,7 @@
 	if (!json_is_array(pairs))
 		log_warn("learnt_passed_over", "key=%s bytes=%zu", item->key,
 		    item->len);
-	take_learnt(l, pairs);
+	apply_learnt(l, pairs);
 	json_decref(pairs);
 }
 
@@ -133,8 +135,8 @@
 	char *text;
 
 	every_ms = pacer_available(&l->node->link, now_ms) < 0 ?
-	    LEARNT_FULL_MS :
-	    LEARNT_EVERY_MS;
+	    LEARNT_LINK_FULL_MS :
+	    LEARNT_INTERVAL_MS;
 	if (l->learnt_text != NULL && now_ms - l->learnt_ms < every_ms)
 		return NULL;
 	pairs = lead_learnt(l);
@@ -165,7 +167,7 @@
 	l->confirmed_ms = l->opened_ms;
 	l->tick_ms = l->opened_ms;
 	TAILQ_INIT(&l->progresses);
-	TAILQ_INIT(&l->waiters);
+	TAILQ_INIT(&l->pending_replies);
 	memset(&options, 0, sizeof(options));
 	options.term = node->elect.leader.term;
 	options.taken_ms = l->opened_ms;
@@ -185,9 +187,9 @@
 	if (l->sched == NULL || l->order_relay == NULL)
 		goto fail;
 	if (options.former_ms == 0)
-		l->settled_revision = node->elect.leader.revision;
+		l->exclusive_revision = node->elect.leader.revision;
 	relay_worker_ops(l->order_relay, &l->workers);
-	take_learnt(l, l->node->learnt);
+	apply_learnt(l, l->node->learnt);
 	TAILQ_FOREACH (member, &node->members, link)
 		member->heard_ms = l->opened_ms;
 	uv_timer_init(node->opt.loop, &l->timer);
@@ -212,18 +214,18 @@
 {
 	struct sched_job *job;
 	struct unknown_job *unknown;
-	struct waiter *waiter;
+	struct pending_reply *pending;
 
 	log_info("lead_end", "term=%llu led_ms=%lld starts=%llu",
 	    (unsigned long long)l->sched->opt.term,
 	    (long long)(clock_now_ms() - l->opened_ms),
 	    (unsigned long long)l->sched->counts.starts);
 	l->closed = true;
-	while ((waiter = TAILQ_FIRST(&l->waiters)) != NULL) {
-		TAILQ_REMOVE(&l->waiters, waiter, link);
-		free(waiter); /* asked again of the next leader */
+	while ((pending = TAILQ_FIRST(&l->pending_replies)) != NULL) {
+		TAILQ_REMOVE(&l->pending_replies, pending, link);
+		free(pending); /* repeated to the next leader */
 	}
-	while ((unknown = LIST_FIRST(&l->unknowns)) != NULL) {
+	while ((unknown = LIST_FIRST(&l->unknown_jobs)) != NULL) {
 		LIST_REMOVE(unknown, link);
 		free(unknown);
 	}
@@ -240,7 +242,7 @@
 	uv_close((uv_handle_t *)&l->timer, on_timer_closed);
 }
 
-/* Something happened: let the scheduler act after this turn of the loop. */
+/* Schedules a step of the scheduler after this iteration of the loop. */
 void
 lead_wakeup(struct lead *l)
 {
@@ -248,9 +250,9 @@
 		uv_timer_start(&l->timer, on_timer, STEP_MS, 0);
 }
 
-/* Greetings that were under way while we were stopped tell nothing. */
+/* Hellos received right after a suspension may be old. */
 static bool
-just_woke(const struct lead *l, int64_t now_ms)
+just_resumed(const struct lead *l, int64_t now_ms)
 {
 	return now_ms - l->resumed_ms < FOLLOWER_MS;
 }
@@ -260,7 +262,7 @@
 {
 	const struct member *member;
 
-	if (TAILQ_EMPTY(&l->node->members) || just_woke(l, now_ms))
+	if (TAILQ_EMPTY(&l->node->members) || just_resumed(l, now_ms))
 		return false;
 	TAILQ_FOREACH (member, &l->node->members, link) {
 		if (now_ms - member->heard_ms >= FOLLOWER_MS ||
@@ -271,11 +273,11 @@
 }
 
 /*
- * Without the store another entry may lead by now, unless all follow us: one
- * that we can't hear may have the store, and workers that the next leader
- * can't reach would run on under our renewals while it takes their leases for
- * over.  So we renew and start nothing after FOLLOWER_MS, well before
- * LEAD_FORMER_MS.
+ * Without the store another entry may lead by now, unless all members follow
+ * us: a member that can't be heard may reach the store.  Workers that the next
+ * leader can't reach would run on under our renewals after it assumes that
+ * their leases have expired.  So nothing is renewed or started after
+ * FOLLOWER_MS, well before LEAD_FORMER_MS.
  */
 static void
 check_frozen(struct lead *l, int64_t now_ms)
@@ -295,7 +297,7 @@
 	l->sched->link_full = l->outbox.full;
 }
 
-/* Send what was gathered if it is due; returns when it is else. */
+/* Sends the batched orders if they are due, else returns when they will be. */
 static int64_t
 flush(struct lead *l, int64_t now_ms)
 {
@@ -326,7 +328,7 @@
 	sched_act(l->sched, now_ms);
 	next_ms = flush(l, now_ms);
 	if (l->deposed)
-		return; /* the node's tick ends the lead */
+		return; /* lead_tick() steps down */
 	save_tick(l, now_ms);
 	if (l->sched->next_ms < next_ms)
 		next_ms = l->sched->next_ms;
@@ -341,7 +343,7 @@
 {
 	struct sched_load load;
 
-	l->load_ms = now_ms;
+	l->load_logged_ms = now_ms;
 	sched_measure(l->sched, &load, now_ms);
 	log_info("load",
 	    "workers=%u usable=%u unsettled=%u cpu=%lld claimed=%lld "
@@ -379,12 +381,12 @@
 		return;
 	}
 	check_frozen(l, now_ms);
-	relay_enable(l->order_relay, count_workers(l) >= CARRY_WORKERS);
+	relay_enable(l->order_relay, count_workers(l) >= RELAY_WORKERS_MIN);
 	relay_tick(l->order_relay, now_ms);
 	save_tick(l, now_ms);
 	fleet_tick(l, now_ms);
 	sweep_tick(l, now_ms);
-	if (l->ready && now_ms - l->load_ms >= LOAD_MS)
+	if (l->ready && now_ms - l->load_logged_ms >= LOAD_LOG_INTERVAL_MS)
 		log_load(l, now_ms);
 }
 
@@ -419,7 +421,7 @@
 	return now_ms >= opt->taken_ms + opt->former_ms;
 }
 
-/* What operators changed: queues' settings hold for jobs that run, too. */
+/* Applies a changed configuration; queue settings affect running jobs, too. */
 void
 lead_config(struct lead *l)
 {
@@ -431,8 +433,8 @@
 	if ((config = l->node->config) == NULL)
 		return;
 	load_check(l);
-	/* Workers of a service that wasn't named before may be used now. */
-	l->workers_reread = true;
+	/* Workers of a service that is new in it may be used now. */
+	l->workers_reread_wanted = true;
 	for (i = 0; i < config->nqueues; i++) {
 		from = &config->queues[i];
 		queue = sched_queue_get(l->sched, from->name, &from->terms);
@@ -503,16 +505,17 @@
 }
 
 /*
- * By the store's revisions, not by when we hear of it: another entry may have
- * told only the former leader, and a watch brings it seconds later.
+ * Compares revisions of the store instead of times of arrival: another entry
+ * may have notified only the former leader, and the watch reports the job
+ * seconds later.
  */
 static enum sched_origin
 origin_of(const struct lead *l, const struct stored_job *stored, bool inherited)
 {
 	if (inherited)
 		return ORIGIN_INHERITED;
-	return l->settled_revision != 0 &&
-		stored->revision > l->settled_revision ?
+	return l->exclusive_revision != 0 &&
+		stored->revision > l->exclusive_revision ?
 	    ORIGIN_NEW :
 	    ORIGIN_OVERLAP;
 }
@@ -525,7 +528,7 @@
 	return lead_add_job(l, item->key + strlen(KEY_JOB), &stored, inherited);
 }
 
-/* Another writer's entry under our prefix names no job, or another one. */
+/* An item of another writer may be no job, or a job with another id. */
 static struct graph *
 read_job(struct lead *l, const char *id, const struct stored_job *stored)
 {
@@ -548,7 +551,7 @@
 {
 	struct sched_job *job;
 	int64_t now_ms, age_ms;
-	struct saved *saved;
+	struct job_save *save;
 	struct graph *graph;
 
 	if ((graph = read_job(l, id, stored)) == NULL)
@@ -564,7 +567,7 @@
 	age_ms = clock_wall_ms() - graph->submitted_ms;
 	if (age_ms < 0)
 		age_ms = 0;
-	if ((saved = calloc(1, sizeof(*saved))) == NULL) {
+	if ((save = calloc(1, sizeof(*save))) == NULL) {
 		graph_free(graph);
 		return NULL;
 	}
@@ -572,10 +575,10 @@
 	    origin_of(l, stored, inherited), now_ms);
 	if (job == NULL) {
 		graph_free(graph);
-		free(saved);
+		free(save);
 		return NULL;
 	}
-	job->data = saved;
+	job->data = save;
 	log_info("job_known", "job=%s queue=%s age_ms=%lld steps=%zu", job->id,
 	    job->queue->name, (long long)age_ms, graph->nsteps);
 	return job;
--- a/entry/lead_calls.c
+++ b/entry/lead_calls.c
@@ -5,9 +5,9 @@
 #include "log.h"
 #include "lead_int.h"
 
-/* The scheduler's actions as calls to workers, and their answers. */
+/* Calls to workers for the actions of the scheduler, and their answers. */
 
-/* A worker is called silent after so many looks in a row without an answer. */
+/* Polls in a row without an answer after which a worker is logged as silent. */
 #define SILENT_MISSES 2
 
 struct call {
@@ -24,7 +24,10 @@
 	struct call *call;
 
 	if ((call = calloc(1, sizeof(*call))) == NULL) {
-		/* An action without an answer would block its task for good. */
+		/*
+		 * Without an answer to the action its task would be blocked
+		 * forever.
+		 */
 		log_error("call_memory", "worker=%s", worker->id);
 		abort();
 	}
@@ -37,7 +40,7 @@
 	return call;
 }
 
-/* The worker that the call was for; NULL: the answer is for nobody. */
+/* The worker of the call; NULL: nobody needs the answer. */
 static struct sched_worker *
 call_worker(const struct call *call)
 {
@@ -59,7 +62,7 @@
 }
 
 static void
-order_of(struct worker_order *order, const struct sched *s,
+order_init(struct worker_order *order, const struct sched *s,
     const struct sched_worker *worker, const struct task_name *task,
     uint32_t attempt)
 {
@@ -113,7 +116,7 @@
 		    sched_worker_nruns(run->worker) - 1);
 	call = call_new(l, run->worker, &name, run->attempt);
 	memset(&order, 0, sizeof(order));
-	order_of(&order.order, s, run->worker, &call->task, run->attempt);
+	order_init(&order.order, s, run->worker, &call->task, run->attempt);
 	order.payload = run->task->step->occurrence->job->graph->payload;
 	order.checkpoint = run->task->checkpoint;
 	order.deadline_ms = run->deadline_worker_ms;
@@ -146,7 +149,7 @@
 	log_info("task_stop", "job=%s step=%u index=%u attempt=%u worker=%s",
 	    task->job, task->step, task->index, attempt, worker->id);
 	call = call_new(l, worker, task, attempt);
-	order_of(&order, s, worker, &call->task, attempt);
+	order_init(&order, s, worker, &call->task, attempt);
 	l->workers.stop(l->workers.self, &order, on_stop, call);
 }
 
@@ -176,11 +179,11 @@
 	log_info("task_pace", "job=%s step=%u index=%u worker=%s percent=%d",
 	    name.job, name.step, name.index, run->worker->id, percent);
 	call = call_new(l, run->worker, &name, run->attempt);
-	order_of(&order, s, run->worker, &call->task, run->attempt);
+	order_init(&order, s, run->worker, &call->task, run->attempt);
 	l->workers.pace(l->workers.self, &order, percent, on_pace, call);
 }
 
-/* The age of its last answer, in milliseconds; -1: none in this term. */
+/* Milliseconds since its last answer; -1: none in this term. */
 static long long
 silent_for(const struct sched_worker *worker, int64_t now_ms)
 {
@@ -188,7 +191,7 @@
 				       -1;
 }
 
-/* One line at the first of some looks without an answer, then ever fewer. */
+/* Logs a worker that stops answering, then ever less often, and its return. */
 static void
 log_silence(const struct sched_worker *worker, enum worker_answer answer,
     uint32_t misses_before, int64_t now_ms)
@@ -206,7 +209,7 @@
 }
 
 static void
-on_look(const struct worker_result *result, void *ctx)
+on_poll(const struct worker_result *result, void *ctx)
 {
 	struct sched_worker *worker;
 	struct call *call;
@@ -225,7 +228,7 @@
 }
 
 void
-lead_late_ends(const char *id, const struct poll_result *look, void *ctx)
+lead_late_ends(const char *id, const struct poll_result *poll, void *ctx)
 {
 	struct sched_worker *worker;
 	struct lead *l;
@@ -233,11 +236,11 @@
 	l = ctx;
 	if ((worker = sched_worker_find(l->sched, id)) != NULL)
 		sched_late_ends_reported(
-		    l->sched, worker, look, clock_now_ms());
+		    l->sched, worker, poll, clock_now_ms());
 }
 
 static void
-look(struct sched *s, struct sched_worker *worker, int64_t deadline_ms,
+poll_worker(struct sched *s, struct sched_worker *worker, int64_t deadline_ms,
     int64_t wait_ms, void *ctx)
 {
 	struct worker_poll order;
@@ -250,11 +253,12 @@
 	order.deadline_ms = deadline_ms;
 	order.wait_ms = wait_ms;
 	l->workers.poll(
-	    l->workers.self, &order, on_look, call_new(l, worker, NULL, 0));
+	    l->workers.self, &order, on_poll, call_new(l, worker, NULL, 0));
 }
 
 static void
-lapsed(struct sched *s, struct sched_worker *worker, size_t nruns, void *ctx)
+lease_expired(
+    struct sched *s, struct sched_worker *worker, size_t nruns, void *ctx)
 {
 	int64_t now_ms;
 
@@ -297,7 +301,7 @@
 }
 
 static void
-lost(struct sched *s, const struct sched_lost *lost, void *ctx)
+task_lost(struct sched *s, const struct sched_lost *lost, void *ctx)
 {
 	struct task_name name;
 
@@ -313,13 +317,13 @@
 }
 
 static void
-deposed(struct sched *s, void *ctx)
+leader_deposed(struct sched *s, void *ctx)
 {
 	struct lead *l;
 
 	(void)s;
 	l = ctx;
-	/* Not from within the scheduler, which this would free. */
+	/* Stepping down frees the scheduler, which calls this: later. */
 	l->deposed = true;
 }
 
@@ -327,13 +331,13 @@
 	start,
 	stop,
 	pace,
-	look,
+	poll_worker,
 	lead_record_changed,
-	lead_unknown,
-	lapsed,
-	lost,
+	lead_unknown_job,
+	lease_expired,
+	task_lost,
 	lead_record_changed,
-	save_actions,
-	save_forget,
-	deposed,
+	save_schedule,
+	save_job_expired,
+	leader_deposed,
 };
--- a/entry/lead_fleet.c
+++ b/entry/lead_fleet.c
@@ -6,16 +6,16 @@
 #include "lead_int.h"
 
 /*
- * What the leader hears from the store: workers that come, drain and leave,
- * and jobs whose notice was lost.
+ * Watches of the store: workers that come, drain and leave, and jobs whose
+ * notice was lost.
  */
 
-/* New jobs are told by notices; the watch is for those that were lost. */
-#define JOBS_EVERY_MS 1000
+/* Entries send notices of new jobs; the watch finds those that were lost. */
+#define JOBS_INTERVAL_MS 1000
 #define WORKERS_WAIT_MS 5000
 #define RETRY_MS 300
-/* A watch may go deaf: the whole list is read so often. */
-#define REREAD_MS 4000
+/* A watch may stop reporting unnoticed: the whole list is read so often. */
+#define REREAD_INTERVAL_MS 4000
 
 static void
 worker_left(struct lead *l, const char *id, int64_t now_ms)
@@ -30,15 +30,15 @@
 	sched_worker_unlisted(l->sched, worker, now_ms);
 }
 
-/* An entry of another writer, in place of one that may have been a worker's. */
+/* An item of another writer, which may have replaced a worker's. */
 static void
 refuse_worker(struct lead *l, const char *key, int64_t now_ms)
 {
-	const struct platform_ops *world;
+	const struct platform_ops *platform;
 	const char *id;
 
-	world = &l->node->opt.platform;
-	if ((id = world->worker_id(world->self, key)) != NULL)
+	platform = &l->node->opt.platform;
+	if ((id = platform->worker_id(platform->self, key)) != NULL)
 		worker_left(l, id, now_ms);
 }
 
@@ -74,7 +74,7 @@
 }
 
 void
-fleet_begin(struct lead *l)
+fleet_list_begin(struct lead *l)
 {
 	struct sched_worker *worker;
 
@@ -83,7 +83,7 @@
 }
 
 void
-fleet_end(struct lead *l, int64_t now_ms)
+fleet_list_end(struct lead *l, int64_t now_ms)
 {
 	struct sched_worker *worker;
 
@@ -93,7 +93,7 @@
 	}
 }
 
-/* The whole list, page after page. */
+/* A read of the whole list, page by page. */
 struct reread {
 	struct lead *lead;
 	char after[KEY_MAX];
@@ -122,8 +122,8 @@
 		l->workers_in_flight = false;
 		l->workers_ms = now_ms;
 		if (complete) {
-			fleet_end(l, now_ms);
-			l->workers_reread = false;
+			fleet_list_end(l, now_ms);
+			l->workers_reread_wanted = false;
 			l->reread_ms = now_ms;
 			if (r->revision > l->workers_revision)
 				l->workers_revision = r->revision;
@@ -170,7 +170,7 @@
 		return;
 	r->lead = l;
 	l->workers_in_flight = true;
-	fleet_begin(l);
+	fleet_list_begin(l);
 	lead_ref(l);
 	reread_page(r);
 }
@@ -178,7 +178,7 @@
 static void
 on_workers(const struct kv_result *result, void *ctx)
 {
-	const struct platform_ops *world;
+	const struct platform_ops *platform;
 	const struct kv_item *item;
 	const char *id;
 	struct lead *l;
@@ -191,11 +191,11 @@
 		return;
 	}
 	now_ms = clock_now_ms();
-	world = &l->node->opt.platform;
+	platform = &l->node->opt.platform;
 	l->workers_in_flight = false;
 	if (result->error != KV_OK) {
 		l->workers_ms = now_ms;
-		l->workers_reread = true;
+		l->workers_reread_wanted = true;
 		lead_unref(l);
 		return;
 	}
@@ -204,8 +204,8 @@
 		if (item->value != NULL)
 			fleet_worker(
 			    l, item->key, item->value, item->len, now_ms);
-		else if ((id = world->worker_id(world->self, item->key)) !=
-		    NULL)
+		else if ((id = platform->worker_id(
+			      platform->self, item->key)) != NULL)
 			worker_left(l, id, now_ms);
 	}
 	if (result->revision > l->workers_revision)
@@ -244,7 +244,7 @@
 	lead_unref(l);
 }
 
-/* Read again all jobs that haven't ended. */
+/* A page of the jobs that haven't ended, read after a lost history. */
 static void
 on_all_jobs(const struct kv_result *result, void *ctx)
 {
@@ -282,7 +282,7 @@
 }
 
 static void
-ask_jobs(struct lead *l, int64_t now_ms)
+read_jobs(struct lead *l, int64_t now_ms)
 {
 	const struct kv_ops *kv;
 
@@ -306,11 +306,12 @@
 	if (!l->ready)
 		return;
 	kv = &l->node->opt.kv;
-	if (!l->jobs_in_flight && now_ms - l->jobs_ms >= JOBS_EVERY_MS)
-		ask_jobs(l, now_ms);
+	if (!l->jobs_in_flight && now_ms - l->jobs_ms >= JOBS_INTERVAL_MS)
+		read_jobs(l, now_ms);
 	if (l->workers_in_flight)
 		return;
-	if (l->workers_reread || now_ms - l->reread_ms >= REREAD_MS) {
+	if (l->workers_reread_wanted ||
+	    now_ms - l->reread_ms >= REREAD_INTERVAL_MS) {
 		if (now_ms - l->workers_ms >= RETRY_MS)
 			reread(l);
 		return;
--- a/entry/lead_load.c
+++ b/entry/lead_load.c
@@ -6,11 +6,11 @@
 #include "lead_int.h"
 
 /*
- * A new leader reads what the store has: jobs that haven't ended, their
- * progress, the record of workers that may run something, and the list of
- * workers.  The same path serves a takeover and a cold start.  Nobody else
- * changes these keys meanwhile but entries that add jobs: each write of a
- * former leader names its term's record as a condition.
+ * Load of the state by a new leader: jobs that haven't ended, their progress,
+ * the worker record, the learned interference effects, and the list of workers.
+ * A takeover and a cold start use the same code.  Meanwhile only entries that
+ * add jobs change these keys: each write of a former leader is conditional on
+ * the leader record of its term.
  */
 
 #define RETRY_MS 100
@@ -51,7 +51,7 @@
 	if ((progress = calloc(1, sizeof(*progress))) == NULL ||
 	    (progress->text = malloc(item->len + 1)) == NULL) {
 		free(progress);
-		/* Without its failures a job might be tried too often. */
+		/* Without its failures a job might be retried too often. */
 		log_error("load_memory", "key=%s", item->key);
 		abort();
 	}
@@ -162,7 +162,9 @@
 	part_end(part);
 }
 
-/* Another writer's: the job begins anew, and our writes replace it. */
+/*
+ * Progress of another writer: the job starts over, and our writes replace it.
+ */
 static void
 refuse_progress(struct lead *l, const char *job)
 {
@@ -177,16 +179,15 @@
 {
 	struct loaded_progress *progress;
 	struct sched_job *job;
-	struct saved *saved;
+	struct job_save *save;
 
 	while ((progress = TAILQ_FIRST(&l->progresses)) != NULL) {
 		TAILQ_REMOVE(&l->progresses, progress, link);
 		job = sched_job_find(l->sched, progress->job);
-		/* One without a job is left of a late write; nothing reads it.
-		 */
+		/* Progress without a job is left from a late write. */
 		if (job != NULL && job->graph != NULL) {
-			saved = job->data;
-			saved->revision = progress->revision;
+			save = job->data;
+			save->revision = progress->revision;
 			if (codec_read_progress(
 				job, progress->text, progress->len) == -1)
 				refuse_progress(l, progress->job);
@@ -213,8 +214,9 @@
 }
 
 /*
- * Without the configuration nobody knows how often a task may fail: ends
- * would be judged by what held when the job was taken.
+ * The configuration has the number of failures that a task may have: without
+ * it, ends would be evaluated by the number in force when the job was
+ * submitted.
  */
 void
 load_check(struct lead *l)
--- a/entry/lead_record.c
+++ b/entry/lead_record.c
@@ -8,28 +8,28 @@
 #include "lead_int.h"
 
 /*
- * The record of workers: who may run something, and what a next leader has to
- * wait for.  It is written whole, on condition of its own revision and of the
- * leader's record: so it is as the last write that was answered says, and a
- * late one can't come after a newer one.
+ * The worker record: which workers may run tasks, and what a next leader has to
+ * wait for.  It is written as a whole, conditional on its own revision and on
+ * the leader record: so the store has it as the last acknowledged write left
+ * it, and a late write can't overwrite a newer one.
  *
- * A row is [id, address] for a worker in use.  It is [id, address, term,
- * tasks] for one where nobody starts anything any more, with left_ms behind
- * these if nobody renews its lease either: all there has lapsed left_ms after
- * the write.  tasks is null where the leader doesn't know what runs there.
- * An earlier version of the program knows rows of the first kind only, and
- * starts and renews where it will; so the others hold only if the last leader
+ * A row is [id, address] for a worker in use.  It is [id, address, term, tasks]
+ * for a worker on which nothing is started any more, followed by left_ms if its
+ * lease isn't renewed either: all leases there have expired left_ms after the
+ * write. tasks is null if the leader doesn't know what runs there.  An earlier
+ * version of the program knows only rows of the first kind, and starts and
+ * renews on any worker; so the other rows are valid only if the last leader
  * wrote them.
  */
 
 #define RETRY_MS 100
 /*
- * While a lease runs out its rest is written again so often: a next leader
- * counts from its own reading, and waits longer by no more than this.
+ * While a lease expires, its remaining time is rewritten at this interval: a
+ * next leader counts from its own read, and waits longer by no more than this.
  */
 #define REFRESH_MS 250
-/* The same of workers that answer, and leave only in seconds. */
-#define REFRESH_LEAVING_MS 1000
+/* The same for workers that answer and leave only after some seconds. */
+#define REFRESH_DRAINING_MS 1000
 
 struct record_row {
 	char id[SCHED_WORKER_ID_MAX];
@@ -54,7 +54,7 @@
 	l->record_dirty = true;
 }
 
-/* false: damaged. */
+/* Returns false if the list is damaged. */
 static bool
 load_tasks(const json_t *list, struct sched_inherited *from,
     struct task_name **tasks_out)
@@ -82,7 +82,7 @@
 	return true;
 }
 
-/* The worker of a row; NULL: another writer's, which names none. */
+/* The worker of a row; NULL: a row of another writer, which names none. */
 static struct sched_worker *
 load_worker(struct lead *l, const json_t *row)
 {
@@ -95,7 +95,7 @@
 	    address == NULL || strlen(address) >= sizeof(worker->address))
 		return NULL;
 	if ((worker = sched_worker_get(l->sched, id)) == NULL) {
-		/* Unasked, it may run what we would start again. */
+		/* Unless it is polled, its tasks might be started twice. */
 		log_error("load_memory", "worker=%s", id);
 		abort();
 	}
@@ -191,7 +191,7 @@
 }
 
 static json_t *
-tasks_of(const struct sched_worker *worker)
+encode_tasks(const struct sched_worker *worker)
 {
 	json_t *list;
 
@@ -202,16 +202,16 @@
 	return json_null();
 }
 
-/* The record is due again after so long, unless it is sooner. */
+/* Requests a rewrite after delay_ms, unless one is due sooner. */
 static void
-refresh_within(struct lead *l, int64_t delay_ms)
+request_refresh(struct lead *l, int64_t delay_ms)
 {
 	if (l->record_refresh_ms == 0 || delay_ms < l->record_refresh_ms)
 		l->record_refresh_ms = delay_ms;
 }
 
 static json_t *
-row_of(struct lead *l, const struct sched_worker *worker, int64_t now_ms)
+encode_row(struct lead *l, const struct sched_worker *worker, int64_t now_ms)
 {
 	int64_t left_ms;
 	json_t *row;
@@ -221,20 +221,20 @@
 		return row;
 	json_array_append_new(
 	    row, json_integer((json_int_t)l->sched->opt.term));
-	json_array_append_new(row, tasks_of(worker));
+	json_array_append_new(row, encode_tasks(worker));
 	if (worker->record_wanted == RECORD_CLOSED)
 		return row;
 	left_ms = sched_worker_lease_left_ms(l->sched, worker, now_ms);
 	if (left_ms > 0)
-		refresh_within(
-		    l, worker->misses > 0 ? REFRESH_MS : REFRESH_LEAVING_MS);
+		request_refresh(
+		    l, worker->misses > 0 ? REFRESH_MS : REFRESH_DRAINING_MS);
 	json_array_append_new(row, json_integer((json_int_t)left_ms));
 	return row;
 }
 
-/* All rows as text, and which worker is in which state by them. */
+/* Encodes all rows, and notes which state each worker has in them. */
 static char *
-compose(struct lead *l, struct record_write *write, int64_t now_ms)
+encode_record(struct lead *l, struct record_write *write, int64_t now_ms)
 {
 	struct sched_worker *worker;
 	struct record_row *row;
@@ -246,7 +246,7 @@
 	RB_FOREACH (worker, sched_worker_tree, &l->sched->workers) {
 		if (worker->record_wanted == RECORD_NONE)
 			continue;
-		json_array_append_new(list, row_of(l, worker, now_ms));
+		json_array_append_new(list, encode_row(l, worker, now_ms));
 		row = &write->rows[write->n++];
 		strlcpy(row->id, worker->id, sizeof(row->id));
 		row->record = worker->record_wanted;
@@ -258,7 +258,7 @@
 }
 
 static void
-mark_stored(struct lead *l, const struct record_write *write)
+mark_recorded(struct lead *l, const struct record_write *write)
 {
 	struct sched_worker *worker;
 	size_t i;
@@ -272,7 +272,7 @@
 }
 
 static void
-learn_revision(struct lead *l, const struct kv_result *result)
+update_revision(struct lead *l, const struct kv_result *result)
 {
 	size_t i;
 
@@ -290,17 +290,17 @@
 
 	write = ctx;
 	l = write->lead;
-	if (save_answered(l, result, write->sent_ms)) {
+	if (save_handle_result(l, result, write->sent_ms)) {
 		l->record_in_flight = false;
 		if (result->error == KV_OK) {
 			l->record_revision = result->revision;
-			mark_stored(l, write);
+			mark_recorded(l, write);
 		} else {
 			l->record_dirty = true;
 			l->record_retry_ms = clock_now_ms() + RETRY_MS;
 		}
 		if (result->error == KV_CONFLICT)
-			learn_revision(l, result);
+			update_revision(l, result);
 		lead_wakeup(l);
 	}
 	write_free(write);
@@ -335,9 +335,9 @@
 }
 
 /*
- * Without the store nothing is sent: a worker that is said to expire may not
- * be renewed until the store's answer says otherwise, and would lose what
- * runs there to an outage that doesn't touch it.
+ * Nothing is sent while the store is unavailable: a worker recorded as expiring
+ * may not be renewed until the store confirms another record, so an outage of
+ * the store alone would cost it its tasks.
  */
 void
 lead_record_tick(struct lead *l, int64_t now_ms)
@@ -353,7 +353,7 @@
 		return;
 	if ((write = write_new(l, now_ms)) == NULL)
 		return;
-	if ((text = compose(l, write, now_ms)) == NULL) {
+	if ((text = encode_record(l, write, now_ms)) == NULL) {
 		write_free(write);
 		return;
 	}
--- a/entry/lead_request.c
+++ b/entry/lead_request.c
@@ -6,14 +6,14 @@
 #include "lead_int.h"
 
 /*
- * Requests about jobs, of callers by way of the entries and of workers that
- * name a job: answered from what the scheduler knows, or from the store.
+ * Requests about jobs, from callers through the entries and from workers that
+ * list a job: answered from the state of the scheduler, or from the store.
  */
 
-/* A job of an entry without the store is stored within so long, or not. */
-#define RELAY_MS 1200
+/* Time limit of storing a job for an entry that can't reach the store. */
+#define STORE_REQUEST_MS 1200
 
-/* A job, not the mark that there is none. */
+/* Finds a job, but not a mark that there is none. */
 static struct sched_job *
 known_job(struct lead *l, const char *id)
 {
@@ -29,7 +29,7 @@
 	char job[GRAPH_ID_MAX];
 	uint64_t number;
 	char from[ELECT_ID_MAX];
-	bool worker_asks; /* a worker names the job */
+	bool worker_asks; /* a worker lists the job */
 	lead_answered *answered;
 	void *ctx;
 };
@@ -47,28 +47,28 @@
 	lookup->answered(&reply, lookup->number, lookup->from, lookup->ctx);
 }
 
-/* Answer once the store has the job as it is now. */
+/* Answers once the current state of the job is saved. */
 static void
 answer_saved(const struct lookup *lookup, const struct sched_job *job)
 {
-	struct waiter *waiter;
+	struct pending_reply *pending;
 
 	if (job->saved >= job->change) {
 		answer(lookup, NODE_CANCELLED, job->state);
 		return;
 	}
-	if ((waiter = calloc(1, sizeof(*waiter))) == NULL)
-		return; /* asked again */
-	strlcpy(waiter->job, job->id, sizeof(waiter->job));
-	waiter->change = job->change;
-	waiter->reply.outcome = NODE_CANCELLED;
-	waiter->reply.state = job->state;
-	waiter->reply.reason = "leader";
-	waiter->number = lookup->number;
-	strlcpy(waiter->from, lookup->from, sizeof(waiter->from));
-	waiter->answered = lookup->answered;
-	waiter->ctx = lookup->ctx;
-	TAILQ_INSERT_TAIL(&lookup->lead->waiters, waiter, link);
+	if ((pending = calloc(1, sizeof(*pending))) == NULL)
+		return; /* the entry repeats the request */
+	strlcpy(pending->job, job->id, sizeof(pending->job));
+	pending->change = job->change;
+	pending->reply.outcome = NODE_CANCELLED;
+	pending->reply.state = job->state;
+	pending->reply.reason = "leader";
+	pending->number = lookup->number;
+	strlcpy(pending->from, lookup->from, sizeof(pending->from));
+	pending->answered = lookup->answered;
+	pending->ctx = lookup->ctx;
+	TAILQ_INSERT_TAIL(&lookup->lead->pending_replies, pending, link);
 }
 
 static void
@@ -97,7 +97,7 @@
 {
 	struct unknown_job *unknown;
 
-	LIST_FOREACH (unknown, &l->unknowns, link) {
+	LIST_FOREACH (unknown, &l->unknown_jobs, link) {
 		if (strcmp(unknown->id, id) == 0) {
 			LIST_REMOVE(unknown, link);
 			free(unknown);
@@ -125,7 +125,7 @@
 
 	lookup = ctx;
 	l = lookup->lead;
-	/* Without an answer the entry asks again. */
+	/* Without an answer the entry repeats the request. */
 	if (l->closed || result->error != KV_OK)
 		goto out;
 	if (result->nitems == 0) {
@@ -138,7 +138,7 @@
 	}
 	if (codec_read_ended(
 		result->items[0].value, result->items[0].len, &state) == -1) {
-		/* Another writer's entry: nothing else knows the job. */
+		/* An item of another writer: nothing else knows the job. */
 		refused_note(
 		    &l->node->refused, result->items[0].key, "not_an_end");
 		answer(lookup, NODE_UNKNOWN_JOB, JOB_QUEUED);
@@ -181,7 +181,7 @@
 	l->node->opt.kv.get(l->node->opt.kv.self, key, on_ended_read, lookup);
 }
 
-/* Unknown here may mean just accepted elsewhere: the store knows. */
+/* A job unknown here may just have been accepted by another entry. */
 static void
 look_up(struct lookup *lookup)
 {
@@ -194,8 +194,8 @@
 	l->node->opt.kv.get(l->node->opt.kv.self, key, on_job_read, lookup);
 }
 
-/* A job that another entry can't store itself. */
-struct relay {
+/* A job to be stored for an entry that can't reach the store. */
+struct store_request {
 	struct lead *lead;
 	uint64_t number;
 	char from[ELECT_ID_MAX];
@@ -204,40 +204,41 @@
 };
 
 static void
-on_relayed(const struct node_reply *reply, void *ctx)
+on_stored(const struct node_reply *reply, void *ctx)
 {
-	struct relay *relay;
-
-	relay = ctx;
-	if (!relay->lead->closed)
-		relay->answered(reply, relay->number, relay->from, relay->ctx);
-	lead_unref(relay->lead);
-	free(relay);
+	struct store_request *request;
+
+	request = ctx;
+	if (!request->lead->closed)
+		request->answered(
+		    reply, request->number, request->from, request->ctx);
+	lead_unref(request->lead);
+	free(request);
 }
 
 static void
-store_for(struct lead *l, const char *id, const struct stored_job *stored,
+store_job(struct lead *l, const char *id, const struct stored_job *stored,
     uint64_t number, const char *from, lead_answered *answered, void *ctx)
 {
-	struct relay *relay;
+	struct store_request *request;
 
 	if (stored == NULL || stored->text == NULL ||
-	    (relay = calloc(1, sizeof(*relay))) == NULL)
-		return; /* asked again */
-	relay->lead = l;
-	relay->number = number;
-	strlcpy(relay->from, from, sizeof(relay->from));
-	relay->answered = answered;
-	relay->ctx = ctx;
+	    (request = calloc(1, sizeof(*request))) == NULL)
+		return; /* the entry repeats the request */
+	request->lead = l;
+	request->number = number;
+	strlcpy(request->from, from, sizeof(request->from));
+	request->answered = answered;
+	request->ctx = ctx;
 	lead_ref(l);
 	accept_text(l->node->accept, id, stored->text, stored->len,
-	    clock_now_ms() + RELAY_MS, on_relayed, relay);
+	    clock_now_ms() + STORE_REQUEST_MS, on_stored, request);
 }
 
 /*
- * A job stored after our term began can't have ended under a former leader,
- * whose writes fail since then; so its text may be taken as it comes.  One
- * stored earlier that we don't know has ended: the store says how.
+ * A job stored after this term began can't have ended under a former leader,
+ * whose writes fail since then; so its text can be used directly.  A job stored
+ * earlier that isn't known has ended: the store has its final state.
  */
 static bool
 is_new(const struct lead *l, const struct stored_job *stored)
@@ -257,7 +258,7 @@
 }
 
 void
-lead_unknown(struct sched *s, const char *id, void *ctx)
+lead_unknown_job(struct sched *s, const char *id, void *ctx)
 {
 	struct unknown_job *unknown;
 	struct lookup *lookup;
@@ -265,7 +266,7 @@
 
 	(void)s;
 	l = ctx;
-	LIST_FOREACH (unknown, &l->unknowns, link) {
+	LIST_FOREACH (unknown, &l->unknown_jobs, link) {
 		if (strcmp(unknown->id, id) == 0)
 			return;
 	}
@@ -274,11 +275,11 @@
 	if (unknown == NULL || lookup == NULL) {
 		free(unknown);
 		free(lookup);
-		return; /* asked again with the worker's next answer */
+		return; /* repeated after the worker's next answer */
 	}
 	log_info("job_unknown", "job=%s", id);
 	strlcpy(unknown->id, id, sizeof(unknown->id));
-	LIST_INSERT_HEAD(&l->unknowns, unknown, link);
+	LIST_INSERT_HEAD(&l->unknown_jobs, unknown, link);
 	lookup->lead = l;
 	lookup->kind = LEADER_REQUEST_STATE;
 	strlcpy(lookup->job, id, sizeof(lookup->job));
@@ -296,9 +297,9 @@
 	struct sched_job *job;
 
 	if (!l->ready)
-		return; /* asked again in a moment */
+		return; /* the entry repeats the request */
 	if (kind == LEADER_REQUEST_STORE) {
-		store_for(l, id, stored, number, from, answered, ctx);
+		store_job(l, id, stored, number, from, answered, ctx);
 		return;
 	}
 	memset(&local, 0, sizeof(local));
--- a/entry/lead_save.c
+++ b/entry/lead_save.c
@@ -7,27 +7,27 @@
 #include "lead_int.h"
 
 /*
- * What the leader writes.  Each write names the leader's record at our
- * revision as a condition, so that none of a former leader can be done.  A
- * job's progress is also conditional on its own revision: a write whose
- * answer was lost may be done seconds later and must not undo a newer one.
+ * Writes of the leader.  Each is conditional on the leader record at our
+ * revision, so that no write of a former leader takes effect.  A job's progress
+ * is also conditional on its own revision: a write without an answer may take
+ * effect seconds later and must not overwrite a newer one.
  */
 
-/* Ends are gathered for so long before they are written, in milliseconds. */
-#define GATHER_MS 60
-/* The same while our link is full: a job's progress is written whole. */
-#define GATHER_FULL_MS 300
-/* The same when a job ended, since callers wait to see that. */
-#define GATHER_ENDED_MS 15
+/* Delay of a write in milliseconds, to save several changes at once. */
+#define BATCH_MS 60
+/* While the link is full: each write has the whole progress of a job. */
+#define BATCH_LINK_FULL_MS 300
+/* When a job has ended, since callers wait for that. */
+#define BATCH_ENDED_MS 15
 #define SAVES_MAX 3
 #define RETRY_MS 100
-/* A record that the store called bad is tried again after so long. */
+/* Retry of a record that the store refused as invalid. */
 #define REFUSED_RETRY_MS 2000
-/* An entry that can't hear us sees by the pulse that we still lead. */
+/* Entries that can't hear the leader see by this key that it is active. */
 #define PULSE_MS 500
-/* What the pulse holds: only that it is written anew counts. */
+/* The value is ignored, only the change of the key counts. */
 #define PULSE_VALUE "1"
-/* Entries of a write for the leader's record, the pulse, what was learnt. */
+/* Entries of a write for the leader record, heartbeat and learned effects. */
 #define FIXED_ENTRIES 3
 #define LIVE_ENTRIES 2
 #define ENDED_ENTRIES 3
@@ -47,14 +47,14 @@
 	struct save_row rows[KV_TXN_MAX / 2];
 	size_t n;
 	bool pulse;
-	bool alone; /* its job shares no write */
+	bool single; /* of one job only */
 	int64_t sent_ms;
 };
 
 static void on_saved(const struct kv_result *, void *);
 
 void
-save_actions(struct sched *s, void *ctx)
+save_schedule(struct sched *s, void *ctx)
 {
 	struct sched_job *job;
 	struct lead *l;
@@ -66,7 +66,7 @@
 	}
 	TAILQ_FOREACH (job, &s->dirty, dirty_link) {
 		if (job->in_ended)
-			l->save_soon = true;
+			l->save_urgent = true;
 	}
 }
 
@@ -77,7 +77,7 @@
 	compare->revision = l->node->elect.leader.revision;
 }
 
-/* The write failed because another entry leads now. */
+/* The write failed because another entry is the leader. */
 static bool
 is_deposed(const struct lead *l, const struct kv_result *result)
 {
@@ -92,15 +92,16 @@
 }
 
 bool
-save_answered(struct lead *l, const struct kv_result *result, int64_t sent_ms)
+save_handle_result(
+    struct lead *l, const struct kv_result *result, int64_t sent_ms)
 {
 	if (l->closed)
 		return false;
 	if (result->error == KV_OK && sent_ms > l->confirmed_ms)
 		l->confirmed_ms = sent_ms;
-	if (result->error == KV_OK && l->settled_revision == 0 &&
+	if (result->error == KV_OK && l->exclusive_revision == 0 &&
 	    sent_ms >= l->sched->opt.taken_ms + l->sched->opt.former_ms)
-		l->settled_revision = result->revision;
+		l->exclusive_revision = result->revision;
 	if (result->error == KV_CONFLICT && is_deposed(l, result)) {
 		node_step_down(l->node, "store_names_another");
 		return false;
@@ -111,13 +112,13 @@
 static bool
 fill_row(struct save_row *row, struct sched_job *job)
 {
-	const struct saved *saved;
+	const struct job_save *save;
 
-	saved = job->data;
+	save = job->data;
 	strlcpy(row->job, job->id, sizeof(row->job));
 	row->change = job->change;
 	row->ended = job->in_ended;
-	row->revision = saved->revision;
+	row->revision = save->revision;
 	snprintf(row->keys[0], KEY_MAX, KEY_PROGRESS "%s", job->id);
 	if (!row->ended) {
 		row->text = codec_progress(job, &row->len);
@@ -125,56 +126,59 @@
 	}
 	snprintf(row->keys[1], KEY_MAX, KEY_JOB "%s", job->id);
 	snprintf(row->keys[2], KEY_MAX, KEY_ENDED "%s", job->id);
-	/* Callers see the end once this is written: it counts from here. */
+	/* Callers see the end after this write: the keep time starts here. */
 	row->text = codec_ended(job->state, clock_wall_ms(), &row->len);
 	return row->text != NULL;
 }
 
 /*
- * A job whose record the store refuses would have each write refused that it
- * shares, the pulse with them: nothing would be saved or started any more,
- * under this leader and the next.
+ * If the store refuses a job's record, it refuses each write that includes the
+ * record, also those with the heartbeat key: nothing could be saved or started
+ * any more, under this leader and the next.  So such a record gets its own
+ * write.
  */
 static bool
-may_join(const struct save_write *write, const struct saved *saved)
+may_share_write(const struct save_write *write, const struct job_save *save)
 {
-	if (saved->in_flight || write->sent_ms < saved->retry_ms)
+	if (save->in_flight || write->sent_ms < save->retry_ms)
 		return false;
-	return !saved->alone || (write->n == 0 && !write->pulse);
+	return !save->single || (write->n == 0 && !write->pulse);
 }
 
-/* Take jobs that are to be saved, as many as one write holds. */
+/* Selects jobs to be saved, as many as fit into one write. */
 static void
-gather(struct lead *l, struct save_write *write)
+batch_jobs(struct lead *l, struct save_write *write)
 {
 	struct sched_job *job, *last;
-	struct saved *saved;
+	struct job_save *save;
 	size_t entries;
 
 	entries = FIXED_ENTRIES;
 	last = TAILQ_LAST(&l->sched->dirty, sched_jobs);
 	while (entries + ENDED_ENTRIES <= KV_TXN_MAX &&
 	    (job = sched_next_dirty(l->sched)) != NULL) {
-		saved = job->data;
-		if (saved == NULL) {
+		save = job->data;
+		if (save == NULL) {
 			/* It ended under a former leader: nothing to save. */
 			sched_saved(l->sched, job, job->change, 0);
-		} else if (!may_join(write, saved) ||
+		} else if (!may_share_write(write, save) ||
 		    !fill_row(&write->rows[write->n], job))
 			sched_dirty_again(l->sched, job);
 		else {
-			saved->in_flight = true;
-			write->alone = saved->alone;
+			save->in_flight = true;
+			write->single = save->single;
 			entries += write->rows[write->n].ended ? ENDED_ENTRIES :
 								 LIVE_ENTRIES;
 			write->n++;
 		}
-		if (job == last || write->alone)
+		if (job == last || write->single)
 			break;
 	}
 }
 
-/* The pulse, and what was learnt if that is due; how many they are. */
+/*
+ * Adds the heartbeat key and, if due, the learned effects; returns the count.
+ */
 static size_t
 put_pulse(struct lead *l, struct kv_put *puts, int64_t now_ms)
 {
@@ -232,76 +236,77 @@
 	l->node->opt.kv.txn(l->node->opt.kv.self, &txn, on_saved, write);
 }
 
-/* Answer requests that waited for this job's save. */
+/* Sends the replies that wait for this save of the job. */
 static void
-wake_waiters(struct lead *l, const struct sched_job *job)
+send_pending_replies(struct lead *l, const struct sched_job *job)
 {
-	struct waiter *waiter, *next;
+	struct pending_reply *pending, *next;
 
-	for (waiter = TAILQ_FIRST(&l->waiters); waiter != NULL; waiter = next) {
-		next = TAILQ_NEXT(waiter, link);
-		if (strcmp(waiter->job, job->id) != 0 ||
-		    job->saved < waiter->change)
+	for (pending = TAILQ_FIRST(&l->pending_replies); pending != NULL;
+	     pending = next) {
+		next = TAILQ_NEXT(pending, link);
+		if (strcmp(pending->job, job->id) != 0 ||
+		    job->saved < pending->change)
 			continue;
-		TAILQ_REMOVE(&l->waiters, waiter, link);
-		waiter->answered(
-		    &waiter->reply, waiter->number, waiter->from, waiter->ctx);
-		free(waiter);
+		TAILQ_REMOVE(&l->pending_replies, pending, link);
+		pending->answered(&pending->reply, pending->number,
+		    pending->from, pending->ctx);
+		free(pending);
 	}
 }
 
-/* The revision at which the store has the job's progress now. */
+/* After a conflict: the present revision of the job's progress. */
 static void
-learn_revision(struct saved *saved, const struct save_row *row,
+update_revision(struct job_save *save, const struct save_row *row,
     const struct kv_result *result)
 {
 	size_t i;
 
 	for (i = 0; i < result->nitems; i++) {
 		if (strcmp(result->items[i].key, row->keys[0]) == 0)
-			saved->revision = result->items[i].revision;
+			save->revision = result->items[i].revision;
 	}
 }
 
-/* Which of a shared write it was for isn't told: each goes by itself next. */
+/* The store doesn't say which record it refused: each is written alone next. */
 static void
-save_refused(struct saved *saved, const struct save_row *row)
+save_refused(struct job_save *save, const struct save_row *row)
 {
-	if (saved->alone) {
+	if (save->single) {
 		log_warn(
 		    "save_refused", "job=%s bytes=%zu", row->job, row->len);
-		saved->retry_ms = clock_now_ms() + REFUSED_RETRY_MS;
+		save->retry_ms = clock_now_ms() + REFUSED_RETRY_MS;
 	}
-	saved->alone = true;
+	save->single = true;
 }
 
 static void
-settle_row(
+finish_row(
     struct lead *l, const struct save_row *row, const struct kv_result *result)
 {
 	struct sched_job *job;
-	struct saved *saved;
+	struct job_save *save;
 
 	job = sched_job_find(l->sched, row->job);
 	if (job == NULL || job->data == NULL)
 		return;
-	saved = job->data;
-	saved->in_flight = false;
+	save = job->data;
+	save->in_flight = false;
 	if (result->error != KV_OK) {
 		if (result->error == KV_CONFLICT)
-			learn_revision(saved, row, result);
+			update_revision(save, row, result);
 		if (result->error == KV_REFUSED)
-			save_refused(saved, row);
+			save_refused(save, row);
 		sched_dirty_again(l->sched, job);
 		return;
 	}
-	saved->alone = false;
-	saved->revision = result->revision;
+	save->single = false;
+	save->revision = result->revision;
 	sched_saved(l->sched, job, row->change, clock_now_ms());
 	if (row->ended)
 		log_info("job_ended", "job=%s state=%s", job->id,
 		    sched_job_state_name(job->state));
-	wake_waiters(l, job);
+	send_pending_replies(l, job);
 }
 
 static const char *
@@ -330,10 +335,10 @@
 	now_ms = clock_now_ms();
 	if (write->pulse)
 		l->pulse_in_flight = false;
-	if (save_answered(l, result, write->sent_ms)) {
+	if (save_handle_result(l, result, write->sent_ms)) {
 		l->saves--;
 		for (i = 0; i < write->n; i++)
-			settle_row(l, &write->rows[i], result);
+			finish_row(l, &write->rows[i], result);
 		if (result->error != KV_OK) {
 			counter_reason(
 			    "lagoonpin_save_retry", retry_reason(result));
@@ -352,12 +357,13 @@
 }
 
 static int64_t
-gather_ms(struct lead *l, int64_t now_ms)
+batch_ms(struct lead *l, int64_t now_ms)
 {
-	if (l->save_soon)
-		return GATHER_ENDED_MS;
-	return pacer_available(&l->node->link, now_ms) < 0 ? GATHER_FULL_MS :
-							     GATHER_MS;
+	if (l->save_urgent)
+		return BATCH_ENDED_MS;
+	return pacer_available(&l->node->link, now_ms) < 0 ?
+	    BATCH_LINK_FULL_MS :
+	    BATCH_MS;
 }
 
 static void
@@ -371,7 +377,7 @@
 		return;
 	if (!pulse &&
 	    (!l->save_wanted || l->saves >= SAVES_MAX ||
-		now_ms - l->save_since_ms < gather_ms(l, now_ms)))
+		now_ms - l->save_since_ms < batch_ms(l, now_ms)))
 		return;
 	if ((write = calloc(1, sizeof(*write))) == NULL)
 		return;
@@ -379,10 +385,10 @@
 	write->pulse = pulse;
 	write->sent_ms = now_ms;
 	if (l->saves < SAVES_MAX)
-		gather(l, write);
+		batch_jobs(l, write);
 	if (TAILQ_EMPTY(&l->sched->dirty)) {
 		l->save_wanted = false;
-		l->save_soon = false;
+		l->save_urgent = false;
 	}
 	if (write->n == 0 && !pulse) {
 		free(write);
@@ -395,16 +401,16 @@
 	send_save(l, write);
 }
 
-/* Keys of jobs that nobody may ask for any more. */
+/* Removal of the records of expired jobs, which callers no longer ask for. */
 
-struct forget_write {
+struct expired_write {
 	struct lead *lead;
 	int64_t sent_ms;
 	size_t n;
 };
 
 void
-save_forget(struct sched *s, const char *job, void *ctx)
+save_job_expired(struct sched *s, const char *job, void *ctx)
 {
 	struct sched_job *known;
 	struct lead *l;
@@ -414,56 +420,56 @@
 		free(known->data);
 		known->data = NULL;
 	}
-	if (l->nforget == FORGET_MAX) {
-		/* Its small key stays until the store is swept. */
+	if (l->nexpired_jobs == EXPIRED_JOBS_MAX) {
+		/* Its small record stays until the sweep. */
 		counter_reason("lagoonpin_forget_skipped", "full");
 		return;
 	}
-	strlcpy(l->forget[l->nforget++], job, GRAPH_ID_MAX);
+	strlcpy(l->expired_jobs[l->nexpired_jobs++], job, GRAPH_ID_MAX);
 }
 
 static void
-on_forgotten(const struct kv_result *result, void *ctx)
+on_expired_removed(const struct kv_result *result, void *ctx)
 {
-	struct forget_write *write;
+	struct expired_write *write;
 	struct lead *l;
 
 	write = ctx;
 	l = write->lead;
-	if (save_answered(l, result, write->sent_ms)) {
-		l->forget_in_flight = false;
+	if (save_handle_result(l, result, write->sent_ms)) {
+		l->expired_in_flight = false;
 		if (result->error == KV_OK) {
-			l->nforget -= write->n;
-			memmove(l->forget[0], l->forget[write->n],
-			    l->nforget * sizeof(l->forget[0]));
+			l->nexpired_jobs -= write->n;
+			memmove(l->expired_jobs[0], l->expired_jobs[write->n],
+			    l->nexpired_jobs * sizeof(l->expired_jobs[0]));
 		}
 	}
 	free(write);
 	lead_unref(l);
 }
 
-/* Enough at once to be worth a write. */
-#define FORGET_BATCH (KV_TXN_MAX - 2)
+/* Fewer removals aren't worth a write. */
+#define EXPIRED_BATCH (KV_TXN_MAX - 2)
 
 static void
-save_forgotten(struct lead *l, int64_t now_ms)
+remove_expired(struct lead *l, int64_t now_ms)
 {
-	char keys[FORGET_BATCH][KEY_MAX];
-	const char *removes[FORGET_BATCH];
-	struct forget_write *write;
+	char keys[EXPIRED_BATCH][KEY_MAX];
+	const char *removes[EXPIRED_BATCH];
+	struct expired_write *write;
 	struct kv_compare compare;
 	struct kv_txn txn;
 
-	if (l->forget_in_flight || l->nforget < FORGET_BATCH ||
+	if (l->expired_in_flight || l->nexpired_jobs < EXPIRED_BATCH ||
 	    now_ms < l->save_retry_ms)
 		return;
 	if ((write = calloc(1, sizeof(*write))) == NULL)
 		return;
 	write->lead = l;
 	write->sent_ms = now_ms;
-	for (write->n = 0; write->n < FORGET_BATCH; write->n++) {
+	for (write->n = 0; write->n < EXPIRED_BATCH; write->n++) {
 		snprintf(keys[write->n], KEY_MAX, KEY_ENDED "%s",
-		    l->forget[write->n]);
+		    l->expired_jobs[write->n]);
 		removes[write->n] = keys[write->n];
 	}
 	memset(&txn, 0, sizeof(txn));
@@ -472,9 +478,10 @@
 	txn.ncompares = 1;
 	txn.removes = removes;
 	txn.nremoves = write->n;
-	l->forget_in_flight = true;
+	l->expired_in_flight = true;
 	lead_ref(l);
-	l->node->opt.kv.txn(l->node->opt.kv.self, &txn, on_forgotten, write);
+	l->node->opt.kv.txn(
+	    l->node->opt.kv.self, &txn, on_expired_removed, write);
 }
 
 void
@@ -484,5 +491,5 @@
 		return;
 	save_jobs(l, now_ms);
 	lead_record_tick(l, now_ms);
-	save_forgotten(l, now_ms);
+	remove_expired(l, now_ms);
 }
--- a/entry/lead_sweep.c
+++ b/entry/lead_sweep.c
@@ -6,64 +6,67 @@
 #include "lead_int.h"
 
 /*
- * Records of ended jobs (KEY_ENDED) that former leaders left.  A leader
- * forgets the jobs that it saw end, and removes their records then; those of
- * jobs that ended under an earlier one nobody else removes.  Nothing fails by
- * that at once: the store grows, from each term by a record for each job that
- * its leader hadn't forgotten yet, and fills up over weeks; then no job can be
- * handed in any more.
+ * Removes the records of ended jobs (KEY_ENDED) that former leaders left.  A
+ * leader removes the records of the jobs that it saw end, once they expire;
+ * nobody else removes those of jobs that ended under an earlier leader.  They
+ * do no harm at first, but each term leaves a record for each job that hadn't
+ * expired yet, and after weeks the store is full and no job can be submitted
+ * any more.
  *
- * So the leader goes through all records, a page now and then, and removes
- * those whose jobs ended longer ago than they must be known.  The record says
- * when that was, by the wall clock of the leader that wrote it, so that terms
- * shorter than the keep time do no harm.  Jobs that this leader knows, or is
- * forgetting, are left to it.  All other records are older than the term, or
- * of jobs that it has known for the keep time.  So one that names no time (an
- * earlier version wrote it, or it is damaged), or one that hasn't come yet, is
- * taken for as old as the term, by a clock that doesn't step.
+ * So the leader reads all records, a page at a time, and removes those of jobs
+ * that ended longer ago than the keep time.  A record has the time of the end
+ * by the wall clock of the leader that wrote it, so that it is also removed if
+ * all terms are shorter than the keep time.  Jobs that this leader knows, or
+ * that have expired and wait for removal, are skipped.  All other records are
+ * older than the term, or of jobs that the leader has known for the keep time.
+ * So a record without a time (an earlier version wrote it, or it is damaged) or
+ * with a time in the future is taken for as old as the term, by the monotonic
+ * clock.
  *
- * Nothing is removed too early: the time is taken as the record is written,
- * before anybody can see the end.  The write may be done some seconds later,
- * the clocks of two entries differ by seconds, and a former leader may show an
- * end for LEAD_FORMER_MS after it was replaced; SWEEP_MARGIN_MS is several
- * times the sum.  Each removal is conditional on the leader's record, like all
- * writes of the leader, so one that is done late removes nothing of a next
- * term's.
+ * No record is removed too early.  The time is taken when the record is
+ * written, before anybody can see the end.  The write may take effect some
+ * seconds later, the clocks of two entries differ by seconds, and a former
+ * leader may report an end for LEAD_FORMER_MS after it was replaced;
+ * SWEEP_MARGIN_MS is several times the sum.  Each removal is conditional on the
+ * leader record, like all writes of the leader, so that a late one removes
+ * nothing in the term of the next leader.
  *
- * While there is a record, a repeat of the hand-in doesn't create the job
- * again (accept.c).  None comes after it: a caller repeats until it was told
- * that its job is taken, and asks for a job no longer than the keep time after
- * its end; an entry repeats the write only until the caller's deadline, and
- * one that is under way then is done within seconds, which the margin holds.
- * Forgetting (save_forget) relies on the same.
+ * While the record exists, a repeated submission doesn't create the job again
+ * (accept.c).  None comes after its removal: a caller repeats a submission
+ * until the job is acknowledged, and asks for a job no longer than the keep
+ * time after its end; an entry repeats the write only until the caller's
+ * deadline, and a write that is under way then takes effect within seconds,
+ * which the margin covers.  Removal of expired jobs (save_job_expired) relies
+ * on the same.
  */
 
 /* Clocks of entries differ by seconds and may step; a late write adds some. */
 #define SWEEP_MARGIN_MS 60000
-/* Between pages: a read and a write in 3 s are little beside the pulse. */
-#define SWEEP_PAUSE_MS 3000
-/* From the end of a sweep to the next: half of the margin that holds anyway. */
-#define SWEEP_EVERY_MS 30000
-/* One entry of a write is the leader's record. */
+/* A read and a write each 3 s are a small load beside the heartbeat key. */
+#define SWEEP_PAGE_INTERVAL_MS 3000
+/* Between two sweeps: half of the margin, by which removal is late anyway. */
+#define SWEEP_INTERVAL_MS 30000
+/* One entry of the transaction compares the leader record. */
 #define SWEEP_BATCH 30
 
-_Static_assert(SWEEP_BATCH + 1 <= KV_TXN_MAX, "a write holds no more");
+_Static_assert(
+    SWEEP_BATCH + 1 <= KV_TXN_MAX, "SWEEP_BATCH exceeds a transaction");
 
 static bool
-is_forgotten(const struct lead *l, const char *job)
+is_expired(const struct lead *l, const char *job)
 {
 	size_t i;
 
-	for (i = 0; i < l->nforget; i++) {
-		if (strcmp(l->forget[i], job) == 0)
+	for (i = 0; i < l->nexpired_jobs; i++) {
+		if (strcmp(l->expired_jobs[i], job) == 0)
 			return true;
 	}
 	return false;
 }
 
-/* How long the job's end has been known. */
+/* Time since the job's end. */
 static int64_t
-age_of(const struct lead *l, const struct kv_item *item, int64_t now_ms)
+record_age(const struct lead *l, const struct kv_item *item, int64_t now_ms)
 {
 	int64_t ended_ms, wall_ms;
 
@@ -75,16 +78,16 @@
 }
 
 static bool
-may_go(const struct lead *l, const struct kv_item *item, int64_t now_ms)
+is_removable(const struct lead *l, const struct kv_item *item, int64_t now_ms)
 {
 	const char *job;
 
 	if (item->value == NULL)
 		return false;
 	job = item->key + strlen(KEY_ENDED);
-	if (sched_job_find(l->sched, job) != NULL || is_forgotten(l, job))
+	if (sched_job_find(l->sched, job) != NULL || is_expired(l, job))
 		return false;
-	return age_of(l, item, now_ms) >=
+	return record_age(l, item, now_ms) >=
 	    l->node->opt.keep_ms + SWEEP_MARGIN_MS;
 }
 
@@ -95,7 +98,7 @@
 		log_info("records_swept", "removed=%llu",
 		    (unsigned long long)sweep->removed);
 	sweep->removed = 0;
-	sweep->next_ms = now_ms + SWEEP_EVERY_MS;
+	sweep->next_ms = now_ms + SWEEP_INTERVAL_MS;
 }
 
 /* After a failure the same page is read again. */
@@ -107,11 +110,11 @@
 
 	sweep = &l->sweep;
 	now_ms = clock_now_ms();
-	sweep->out = false;
-	sweep->next_ms = now_ms + SWEEP_PAUSE_MS;
+	sweep->in_flight = false;
+	sweep->next_ms = now_ms + SWEEP_PAGE_INTERVAL_MS;
 	if (!done)
 		return;
-	strlcpy(sweep->after, sweep->upto, sizeof(sweep->after));
+	strlcpy(sweep->after, sweep->next_after, sizeof(sweep->after));
 	if (sweep->after[0] == '\0')
 		sweep_end(sweep, now_ms);
 }
@@ -124,7 +127,7 @@
 
 	l = ctx;
 	sweep = &l->sweep;
-	if (save_answered(l, result, sweep->sent_ms)) {
+	if (save_handle_result(l, result, sweep->sent_ms)) {
 		if (result->error == KV_OK) {
 			sweep->removed += sweep->n;
 			counter_add(counter_get("lagoonpin_records_swept", ""),
@@ -152,9 +155,13 @@
 	l->node->opt.kv.txn(l->node->opt.kv.self, &txn, on_removed, l);
 }
 
-/* A page with more old records than a write holds is read on from there. */
+/*
+ * Selects records to be removed, as many as fit into one write; the next page
+ * starts after the last record that was examined.
+ */
 static void
-choose(struct lead *l, const struct kv_result *result, const char **removes)
+select_records(
+    struct lead *l, const struct kv_result *result, const char **removes)
 {
 	struct sweep *sweep;
 	int64_t now_ms;
@@ -164,13 +171,13 @@
 	sweep->n = 0;
 	now_ms = clock_now_ms();
 	for (i = 0; i < result->nitems && sweep->n < SWEEP_BATCH; i++) {
-		if (may_go(l, &result->items[i], now_ms))
+		if (is_removable(l, &result->items[i], now_ms))
 			removes[sweep->n++] = result->items[i].key;
 	}
-	sweep->upto[0] = '\0';
+	sweep->next_after[0] = '\0';
 	if (i > 0 && (i < result->nitems || result->more))
-		strlcpy(
-		    sweep->upto, result->items[i - 1].key, sizeof(sweep->upto));
+		strlcpy(sweep->next_after, result->items[i - 1].key,
+		    sizeof(sweep->next_after));
 }
 
 static void
@@ -186,7 +193,7 @@
 		page_end(l, false);
 		goto out;
 	}
-	choose(l, result, removes);
+	select_records(l, result, removes);
 	if (l->sweep.n > 0)
 		remove_records(l, removes);
 	else
@@ -203,7 +210,7 @@
 
 	kv = &l->node->opt.kv;
 	after = l->sweep.after[0] != '\0' ? l->sweep.after : NULL;
-	l->sweep.out = true;
+	l->sweep.in_flight = true;
 	lead_ref(l);
 	kv->range(kv->self, KEY_ENDED, after, on_page, l);
 }
@@ -211,10 +218,11 @@
 void
 sweep_tick(struct lead *l, int64_t now_ms)
 {
-	if (l->closed || !l->ready || l->sweep.out)
+	if (l->closed || !l->ready || l->sweep.in_flight)
 		return;
 	/* A new leader has more urgent reads. */
-	if (now_ms < l->opened_ms + SWEEP_PAUSE_MS || now_ms < l->sweep.next_ms)
+	if (now_ms < l->opened_ms + SWEEP_PAGE_INTERVAL_MS ||
+	    now_ms < l->sweep.next_ms)
 		return;
 	if (!lead_has_store(l, now_ms) || now_ms < l->save_retry_ms)
 		return;
--- a/entry/node.c
+++ b/entry/node.c
@@ -6,20 +6,20 @@
 #include "log.h"
 #include "node_int.h"
 
-/* The parts of an entry, and the timer that drives them. */
+/* Setup and shutdown of an entry, and the timer that drives its parts. */
 
 #define TICK_MS 20
 /*
- * Of our link that what can wait may fill, and for how long at once.  The rest
- * is for answers to callers, and keeps the queue before beats short: with
- * nothing held back, orders over a link of 2 Mbit/s took 600 ms under load,
- * their answers were given up on, and each was sent again.
+ * Share of the link for messages that can wait, and the length of a burst.  The
+ * rest is for responses to callers, and keeps the queue in front of heartbeats
+ * short: without a limit, orders over a link of 2 Mbit/s took 600 ms under
+ * load, their answers timed out, and each order was sent again.
  */
 #define LINK_SHARE 0.9
 #define LINK_BURST_MS 100
-/* Leaving, requests under way get so long to be answered. */
-#define LEAVE_MS 1500
-/* A stronger member that stays so long won't be gone in a moment. */
+/* On leaving, open requests may take so long to be answered. */
+#define LEAVE_TIMEOUT_MS 1500
+/* A stronger member that stays so long is unlikely to disappear soon. */
 #define OUTRANKED_MS 2000
 
 static void on_tick(uv_timer_t *);
@@ -100,10 +100,10 @@
 static bool
 is_idle(const struct node *node)
 {
-	const struct leader_request *ask;
+	const struct leader_request *request;
 
-	TAILQ_FOREACH (ask, &node->leader_requests, link) {
-		if (!ask->dead)
+	TAILQ_FOREACH (request, &node->leader_requests, link) {
+		if (!request->dead)
 			return false;
 	}
 	return accept_idle(node->accept);
@@ -116,7 +116,7 @@
 
 	if (node->on_left == NULL)
 		return;
-	if (!is_idle(node) && now_ms - node->leaving_ms < LEAVE_MS)
+	if (!is_idle(node) && now_ms - node->leaving_ms < LEAVE_TIMEOUT_MS)
 		return;
 	on_left = node->on_left;
 	node->on_left = NULL;
@@ -132,23 +132,23 @@
 	return kv->answered_ms(kv->self) > kv->failed_ms(kv->self);
 }
 
-/* Give the lead up: a member takes it over at once. */
+/* Gives up the lead: a member takes over at once. */
 static void
 hand_over(struct node *node, const char *reason, int64_t now_ms)
 {
-	bool alone;
+	bool exclusive;
 
-	alone = lead_is_exclusive(node->lead, now_ms);
+	exclusive = lead_is_exclusive(node->lead, now_ms);
 	node_step_down(node, reason);
-	members_resign(node, alone);
+	members_resign(node, exclusive);
 }
 
 /*
- * A weak entry may have led first, while the strong ones were away or slower.
- * Its processor and link can't follow what hundreds of workers tell, so that
- * all jobs take longer for as long as it leads; a change takes a tenth of a
- * second.  Only once no former leader acts any more: the next one would have to
- * wait for it.
+ * A weak entry may have become leader while the stronger ones were absent or
+ * slower.  Its processor and link can't keep up with the answers of hundreds of
+ * workers, so all jobs take longer while it leads; a handover takes a tenth of
+ * a second.  The handover waits until no former leader can act any more, since
+ * the next leader would have to wait for that.
  */
 static void
 check_outranked(struct node *node, int64_t now_ms)
@@ -207,7 +207,7 @@
 	node->leaving_ms = clock_now_ms();
 	node->on_left = on_left;
 	node->left_ctx = ctx;
-	node->hello_ms = 0; /* the leader should know at once */
+	node->hello_ms = 0; /* tell the leader at once */
 	if (node->lead != NULL)
 		hand_over(node, "leaving", node->leaving_ms);
 }
@@ -264,8 +264,8 @@
 		uv_timer_start(&node->reply_timer, on_reply, delay_ms, 0);
 }
 
-/* Counts older than this may be under half of the truth. */
-#define PENDING_MS 1500
+/* Older counts may be less than half of the true ones. */
+#define PENDING_MAX_AGE_MS 1500
 
 int64_t
 node_pending(struct node *node, const char *queue)
@@ -282,13 +282,13 @@
 		return count;
 	}
 	if (!json_is_object(node->pending) ||
-	    clock_now_ms() - node->pending_ms > PENDING_MS)
+	    clock_now_ms() - node->pending_ms > PENDING_MAX_AGE_MS)
 		return -1;
 	return json_integer_value(json_object_get(node->pending, queue));
 }
 
-/* Word of full queues older than this says nothing of the room now. */
-#define FULL_MS 1500
+/* Older reports of full queues say nothing about the present room. */
+#define FULL_MAX_AGE_MS 1500
 
 bool
 node_queue_full(const struct node *node, const char *queue, int64_t now_ms)
@@ -296,7 +296,7 @@
 	const json_t *name;
 	size_t i;
 
-	if (now_ms - node->full_ms > FULL_MS)
+	if (now_ms - node->full_ms > FULL_MAX_AGE_MS)
 		return false;
 	json_array_foreach(node->full, i, name)
 	{
--- a/entry/node.h
+++ b/entry/node.h
@@ -6,25 +6,25 @@
 #include "seam.h"
 
 /*
- * An entry: it takes jobs from callers, and leads or follows.  One entry
- * leads and schedules all jobs; the others store what callers hand in, pass
- * requests on to the leader, and take over when it fails.  All state that
- * must last is in the store; see docs/PLATFORM.md.
+ * An entry: it accepts jobs from callers, and leads or follows.  The leader
+ * schedules all jobs; the other entries store submitted jobs, forward requests
+ * to the leader, and take over when it fails.  All durable state is in the
+ * store; see docs/PLATFORM.md.
  */
 
 struct node;
 
 struct node_options {
 	uv_loop_t *loop;
-	const char *id; /* of this entry, unique */
+	const char *id; /* unique among the entries */
 	const char *ip; /* for messages between entries */
 	int port;
 	const char *data_center;
-	double power; /* the strongest member leads first */
-	double link_bytes_per_s; /* of our own link */
-	int64_t lease_max_ms; /* of what runs on workers, as they allow it */
-	int64_t keep_ms; /* ended jobs are known so long */
-	int64_t harm_ms; /* a serving task may be late so long */
+	double power; /* the strongest member is preferred as leader */
+	double link_bytes_per_s; /* of this entry's link */
+	int64_t lease_max_ms; /* the longest that workers allow */
+	int64_t keep_ms; /* ended jobs are known for so long */
+	int64_t harm_ms; /* a serving task may be late for so long */
 	struct kv_ops kv;
 	struct worker_ops workers;
 	struct platform_ops platform;
@@ -38,41 +38,44 @@
 
 struct node *node_open(const struct node_options *, enum node_error *);
 const char *node_strerror(enum node_error);
-/* Hand over, then call on_left: nothing is sent afterwards. */
+/* Hands the lead over, then calls on_left: nothing is sent afterwards. */
 void node_leave(struct node *, void (*on_left)(void *ctx), void *ctx);
 void node_close(struct node *);
 
-/* The configuration is known and jobs can be taken. */
+/* The configuration is known and jobs are accepted. */
 bool node_ready(const struct node *);
-/* A configuration is in force here. */
+/* A configuration is in force. */
 bool node_configured(const struct node *);
 
-/* Callers.  Each request is answered exactly once, also after they left. */
+/*
+ * Requests of callers.  Each is answered exactly once, even to a caller that
+ * left.
+ */
 enum node_outcome {
-	NODE_ACCEPTED, /* stored, now or by an earlier request */
+	NODE_ACCEPTED, /* stored, by this or an earlier request */
 	NODE_STATE, /* state is valid */
 	NODE_CANCELLED,
-	NODE_UNKNOWN_JOB, /* there is surely no such job */
-	NODE_NOT_DONE, /* surely nothing was done: come back */
-	NODE_NO_ANSWER /* it may have been done */
+	NODE_UNKNOWN_JOB, /* certainly no such job */
+	NODE_NOT_DONE, /* certainly nothing was done: retry later */
+	NODE_NO_ANSWER /* outcome unknown: it may have been done */
 };
 
 struct node_reply {
 	enum node_outcome outcome;
 	enum sched_job_state state;
-	int64_t retry_after_ms; /* with NODE_NOT_DONE */
-	const char *reason; /* for logs and counters, static text */
+	int64_t retry_after_ms; /* of NODE_NOT_DONE */
+	const char *reason; /* static text for logs and counters */
 };
 typedef void node_replied(const struct node_reply *, void *ctx);
 
-/* Takes the graph over. */
+/* Takes ownership of the graph. */
 void node_submit(struct node *, struct graph *, int64_t deadline_ms,
     node_replied *, void *ctx);
 void node_state(struct node *, const char *job, int64_t deadline_ms,
     node_replied *, void *ctx);
 void node_cancel(struct node *, const char *job, int64_t deadline_ms,
     node_replied *, void *ctx);
-/* Accepted jobs of the queue that haven't begun; -1: not known now. */
+/* Accepted jobs of the queue that haven't begun; -1: unknown. */
 int64_t node_pending(struct node *, const char *queue);
 
 #endif /* NODE_H */
--- a/entry/seam.h
+++ b/entry/seam.h
@@ -9,43 +9,43 @@
 #include "scheduler.h"
 
 /*
- * What an entry needs of the world around it: a store, workers, and how the
- * world writes its configuration and its list of workers down.  Each is a
- * table of callbacks whose first argument is the table's own context, so that
- * the entry doesn't know whose formats and calls stand behind it.  Every call
- * is answered exactly once, later, from the loop; what a result points to is
- * valid only during the callback.
+ * Interfaces of an entry to its environment: the store, the workers, and the
+ * formats of the configuration and of the list of workers.  Each is a table of
+ * callbacks that get the table's own context as their first argument, so that
+ * the entry doesn't depend on an implementation.  Each call is answered exactly
+ * once, later, from the event loop; the data of a result is valid only during
+ * the callback.
  */
 
 /* The store. */
 enum kv_error {
 	KV_OK,
-	KV_CONFLICT, /* a condition doesn't hold: nothing was done */
+	KV_CONFLICT, /* a comparison failed: nothing was done */
 	KV_UNAVAILABLE, /* certainly not done */
-	KV_UNKNOWN, /* no answer: it may be done, now or later */
-	KV_COMPACTED, /* a watch: that history is gone */
-	KV_REFUSED /* the store called it bad: nothing was done */
+	KV_UNKNOWN, /* no answer: it may take effect, now or later */
+	KV_COMPACTED, /* of a watch: that history is gone */
+	KV_REFUSED /* refused as invalid: nothing was done */
 };
 
 struct kv_item {
 	const char *key;
-	const char *value; /* a NUL follows; NULL: the key was removed */
+	const char *value; /* NUL-terminated; NULL: the key was removed */
 	size_t len;
-	int64_t revision; /* of its last change; 0: there is no such key */
+	int64_t revision; /* of its last change; 0: no such key */
 };
 
 struct kv_result {
 	enum kv_error error;
 	const struct kv_item *items; /* after a conflict: those compared */
 	size_t nitems;
-	bool more; /* of a range: go on after the last key */
-	int64_t revision; /* of the store; of a write: the change's */
+	bool more; /* of a range: continue after the last key */
+	int64_t revision; /* of the store; of a write: of the change */
 };
 typedef void kv_done(const struct kv_result *, void *ctx);
 
 struct kv_compare {
 	const char *key;
-	int64_t revision; /* 0: must not exist */
+	int64_t revision; /* 0: the key must not exist */
 };
 
 struct kv_put {
@@ -54,7 +54,7 @@
 	size_t len;
 };
 
-/* All or nothing; KV_TXN_MAX entries at most over the three lists. */
+/* Atomic; at most KV_TXN_MAX entries in all three lists together. */
 #define KV_TXN_MAX 32
 struct kv_txn {
 	const struct kv_compare *compares;
@@ -67,15 +67,18 @@
 
 struct kv_ops {
 	void *self;
-	/* A read gives one item or none; stale: it may be seconds old. */
+	/* One item or none; the read may be stale by seconds. */
 	void (*get)(void *self, const char *key, kv_done *, void *ctx);
 	void (*range)(void *self, const char *prefix, const char *after,
 	    kv_done *, void *ctx);
-	/* Changes after a revision, as soon as there is one, else none. */
+	/*
+	 * Changes after a revision, as soon as there are any; none after
+	 * wait_ms.
+	 */
 	void (*watch)(void *self, const char *prefix, int64_t after,
 	    int64_t wait_ms, kv_done *, void *ctx);
 	void (*txn)(void *self, const struct kv_txn *, kv_done *, void *ctx);
-	/* Time of the store's last answer, and of the last call without. */
+	/* Times of the last answer, and of the last call without one. */
 	int64_t (*answered_ms)(void *self);
 	int64_t (*failed_ms)(void *self);
 };
@@ -105,8 +108,8 @@
 
 struct worker_result {
 	enum worker_answer answer;
-	int64_t clock_ms; /* the worker's; 0: not told */
-	const struct poll_result *poll; /* of a look that succeeded */
+	int64_t clock_ms; /* of the worker; 0: unknown */
+	const struct poll_result *poll; /* of a successful poll */
 };
 typedef void worker_done(const struct worker_result *, void *ctx);
 
@@ -122,7 +125,7 @@
 	    void *self, const struct worker_poll *, worker_done *, void *);
 };
 
-/* The operators' configuration, as far as scheduling needs it. */
+/* The part of the operators' configuration that scheduling needs. */
 struct queue_config {
 	char name[GRAPH_NAME_MAX];
 	struct queue_terms terms;
@@ -134,7 +137,7 @@
 	size_t nqueues;
 };
 
-/* A worker as the list of workers has it. */
+/* A worker as in the list of workers. */
 struct worker_info {
 	char id[SCHED_WORKER_ID_MAX];
 	char service[GRAPH_NAME_MAX];
@@ -151,13 +154,13 @@
 	void *self;
 	const char *config_prefix; /* watched for the configuration */
 	const char *workers_prefix; /* watched for workers */
-	/* NULL: this key isn't the configuration, or it is bad. */
+	/* NULL: the key isn't the configuration, or the value is invalid. */
 	const struct entry_config *(*config)(
 	    void *self, const char *key, const char *value, size_t len);
-	/* false: not a worker, or bad. */
+	/* false: not a worker, or invalid. */
 	bool (*worker)(void *self, const char *key, const char *value,
 	    size_t len, struct worker_info *);
-	/* The id of a worker that left the list. */
+	/* The id of the worker that the key stands for; NULL: none. */
 	const char *(*worker_id)(void *self, const char *key);
 };
 
