--- a/entry/accept.c
+++ b/entry/accept.c
@@ -7,28 +7,32 @@
 #include "node_int.h"
 
 /*
- * New jobs go into the store by create-if-absent, several to a write.  A
- * caller is told that its job was accepted only after that, and that it was
- * not only if no write of it can have been done.  A write whose answer was
- * lost is repeated: whichever of the two is done first makes the other fail.
+ * Storing of new jobs.  Each is written with create-if-absent, several jobs to
+ * a transaction.  The caller is told that its job was accepted only after the
+ * write, and that it was refused only if no write of it can have taken effect.
+ * A write without an answer is repeated: whichever of the two takes effect
+ * first makes the other fail its comparison.
  */
 
-/* A job takes two comparisons and one put of a transaction. */
+/* Each job takes two comparisons and one put of a transaction. */
 #define JOBS_PER_WRITE (KV_TXN_MAX / 3)
-/* Writes under way at once. */
+/* Concurrent writes. */
 #define WRITES_MAX 4
-/* After a write that the store surely didn't do. */
+/* Delay after a write that certainly didn't take effect. */
 #define RETRY_MS 100
-/* The caller is answered so long before it gives up. */
+/* The caller is answered this long before its deadline. */
 #define DEADLINE_MARGIN_MS 150
-/* The store failed so recently that a new write would fail too. */
+/* For this long after a failed request, a new write would fail too. */
 #define STORE_DOWN_MS 1500
-/* When to come back after an outage was seen, in milliseconds. */
-#define STORE_RETRY_MS 1000
-/* The same where jobs that last have no room: others must end first. */
-#define FULL_RETRY_MS 3000
-/* The leader is told of a stored job for so long; it also watches. */
-#define NOTICE_MS 20000
+/* Retry-after time for callers while the store is unavailable. */
+#define STORE_RETRY_AFTER_MS 1000
+/* The same if there is no room for long-running jobs until others end. */
+#define NO_ROOM_RETRY_AFTER_MS 3000
+/*
+ * Time limit for notifying the leader of a stored job.  The leader's watch on
+ * the store reports it as well.
+ */
+#define NOTICE_TIMEOUT_MS 20000
 
 struct new_job {
 	TAILQ_ENTRY(new_job) link;
@@ -38,10 +42,10 @@
 	size_t len;
 	int64_t deadline_ms;
 	int64_t retry_ms;
-	bool unsure; /* a write of it may be done yet */
-	bool relayed; /* for another entry: not passed on again */
-	bool alone; /* in a write of its own, to see whose condition failed */
-	bool full; /* it lasts, and there is no room for it */
+	bool outcome_unknown; /* a write of it may yet take effect */
+	bool relayed; /* from another entry: not forwarded again */
+	bool alone; /* written alone to find the job whose comparison failed */
+	bool no_room; /* long-running, and the queue has no room for it */
 	node_replied *replied;
 	void *ctx;
 };
@@ -50,8 +54,8 @@
 struct accept {
 	struct node *node;
 	struct new_jobs waiting;
-	uint32_t writes; /* under way */
-	uint32_t reads; /* the same */
+	uint32_t writes; /* in flight */
+	uint32_t reads; /* in flight */
 	bool closed;
 };
 
@@ -99,27 +103,27 @@
 	free(job);
 }
 
-/* The time is up, or nothing more can be done. */
+/* The deadline has passed, or the job can't be stored. */
 static void
-give_up(struct new_job *job, const char *reason)
+fail(struct new_job *job, const char *reason)
 {
-	if (job->unsure)
+	if (job->outcome_unknown)
 		finish(job, NODE_NO_ANSWER, reason, 0);
 	else
-		finish(job, NODE_NOT_DONE, reason, STORE_RETRY_MS);
+		finish(job, NODE_NOT_DONE, reason, STORE_RETRY_AFTER_MS);
 }
 
 static void
-accepted(struct accept *a, struct new_job *job, int64_t revision)
+finish_accepted(struct accept *a, struct new_job *job, int64_t revision)
 {
 	struct leader_request *notice;
 	int64_t now_ms;
 
 	now_ms = clock_now_ms();
 	notice = leader_request_new(a->node, LEADER_REQUEST_JOB, job->id,
-	    now_ms + NOTICE_MS, NULL, NULL);
+	    now_ms + NOTICE_TIMEOUT_MS, NULL, NULL);
 	if (notice != NULL) {
-		/* Without memory the leader's watch tells it. */
+		/* If out of memory, the leader learns of it by its watch. */
 		notice->body = job->text;
 		notice->body_len = job->len;
 		notice->revision = revision;
@@ -142,33 +146,35 @@
 }
 
 /*
- * The store turns this entry away, but may serve others: the leader stores the
- * job for us.  An answer that it wasn't stored is as good as our own.
+ * The store is unavailable to this entry but may not be to others, so the
+ * leader is asked to store the job.  A refusal by the leader is as reliable as
+ * our own.  Returns false if the leader can't be asked.
  */
 static bool
-hand_to_leader(struct new_job *job)
+forward_to_leader(struct new_job *job)
 {
 	struct node *node;
-	struct leader_request *ask;
+	struct leader_request *request;
 
 	node = job->accept->node;
-	if (job->unsure || job->relayed || node->lead != NULL ||
+	if (job->outcome_unknown || job->relayed || node->lead != NULL ||
 	    node->elect.leader.id[0] == '\0' || !node->elect.leader_has_store)
 		return false;
-	ask = leader_request_new(node, LEADER_REQUEST_STORE, job->id,
+	request = leader_request_new(node, LEADER_REQUEST_STORE, job->id,
 	    job->deadline_ms + DEADLINE_MARGIN_MS, job->replied, job->ctx);
-	if (ask == NULL)
+	if (request == NULL)
 		return false;
 	counter_reason("lagoonpin_job_relayed", "store");
-	ask->body = job->text;
-	ask->body_len = job->len;
+	request->body = job->text;
+	request->body_len = job->len;
 	free(job);
 	return true;
 }
 
 /*
- * A job without room may have been stored by an earlier try whose answer was
- * lost.  It runs then, and its caller isn't told that it doesn't.
+ * A job without room may have been stored by an earlier request of the caller
+ * that was not answered.  It will run then, so the store is read before the
+ * job is refused.
  */
 static void
 read_key(struct new_job *job, const char *prefix, kv_done *done)
@@ -182,7 +188,7 @@
 	kv->get(kv->self, key, done, job);
 }
 
-/* The last call under way has come back after accept_close(). */
+/* Free after accept_close() once the last store call has returned. */
 static void
 accept_release(struct accept *a)
 {
@@ -197,15 +203,15 @@
 
 	now_ms = clock_now_ms();
 	if (job->text == NULL) {
-		give_up(job, "memory");
+		fail(job, "memory");
 		return;
 	}
 	if (store_is_down(a, now_ms)) {
-		if (!hand_to_leader(job))
-			give_up(job, "store_down");
+		if (!forward_to_leader(job))
+			fail(job, "store_down");
 		return;
 	}
-	if (job->full) {
+	if (job->no_room) {
 		read_key(job, KEY_JOB, on_job_read);
 		return;
 	}
@@ -213,49 +219,49 @@
 	accept_tick(a, now_ms);
 }
 
-/* What the store has in the place of a job without room. */
+/* Process the read of a key of a job without room. */
 static void
-found(struct new_job *job, const struct kv_result *result,
-    void (*unknown)(struct new_job *))
+handle_read(struct new_job *job, const struct kv_result *result,
+    void (*on_absent)(struct new_job *))
 {
 	struct accept *a;
 
 	a = job->accept;
 	a->reads--;
 	if (a->closed)
-		give_up(job, "closing");
+		fail(job, "closing");
 	else if (result->error != KV_OK) {
-		job->full = false;
+		job->no_room = false;
 		submit(a, job);
 	} else if (result->nitems > 0)
 		finish(job, NODE_ACCEPTED, "stored_before", 0);
 	else
-		unknown(job);
+		on_absent(job);
 	accept_release(a);
 }
 
 static void
-look_for_end(struct new_job *job)
+read_ended(struct new_job *job)
 {
 	read_key(job, KEY_ENDED, on_ended_read);
 }
 
 static void
-refuse_full(struct new_job *job)
+refuse_no_room(struct new_job *job)
 {
-	finish(job, NODE_NOT_DONE, "no_room", FULL_RETRY_MS);
+	finish(job, NODE_NOT_DONE, "no_room", NO_ROOM_RETRY_AFTER_MS);
 }
 
 static void
 on_job_read(const struct kv_result *result, void *ctx)
 {
-	found(ctx, result, look_for_end);
+	handle_read(ctx, result, read_ended);
 }
 
 static void
 on_ended_read(const struct kv_result *result, void *ctx)
 {
-	found(ctx, result, refuse_full);
+	handle_read(ctx, result, refuse_no_room);
 }
 
 static struct new_job *
@@ -278,7 +284,7 @@
 reply_memory(node_replied *replied, void *ctx)
 {
 	replied(&(struct node_reply){ .outcome = NODE_NOT_DONE,
-		    .retry_after_ms = STORE_RETRY_MS,
+		    .retry_after_ms = STORE_RETRY_AFTER_MS,
 		    .reason = "memory" },
 	    ctx);
 }
@@ -291,7 +297,7 @@
 
 	job = job_new(node->accept, graph->id, deadline_ms, replied, ctx);
 	if (job != NULL)
-		job->full = graph_lasts(graph) &&
+		job->no_room = graph_lasts(graph) &&
 		    node_queue_full(node, graph->queue, clock_now_ms());
 	if (job != NULL)
 		job->text = codec_graph(graph, &job->len);
@@ -318,9 +324,9 @@
 	submit(a, job);
 }
 
-/* The jobs of the next write; false: none is due. */
+/* Collect the jobs of the next write; returns false if none is due. */
 static bool
-gather(struct accept *a, struct accept_write *write, int64_t now_ms)
+collect_jobs(struct accept *a, struct accept_write *write, int64_t now_ms)
 {
 	struct new_job *job, *next;
 	size_t n;
@@ -384,13 +390,13 @@
 		if (now_ms < job->deadline_ms)
 			continue;
 		TAILQ_REMOVE(&a->waiting, job, link);
-		give_up(job, "store_slow");
+		fail(job, "store_slow");
 	}
 	while (a->writes < WRITES_MAX && !TAILQ_EMPTY(&a->waiting)) {
 		if ((write = calloc(1, sizeof(*write))) == NULL)
 			return;
 		write->accept = a;
-		if (!gather(a, write, now_ms)) {
+		if (!collect_jobs(a, write, now_ms)) {
 			free(write);
 			return;
 		}
@@ -398,7 +404,7 @@
 	}
 }
 
-/* Whether the conflict shows that the store has the job already. */
+/* Whether the compared keys show that the job is already stored. */
 static bool
 is_stored(const struct new_job *job, const struct kv_result *result)
 {
@@ -423,7 +429,7 @@
 
 	now_ms = clock_now_ms();
 	if (a->closed || now_ms + delay_ms >= job->deadline_ms) {
-		give_up(job, "store_slow");
+		fail(job, "store_slow");
 		return;
 	}
 	job->retry_ms = now_ms + delay_ms;
@@ -431,11 +437,12 @@
 }
 
 static void
-settle(struct accept *a, struct new_job *job, const struct kv_result *result)
+handle_result(
+    struct accept *a, struct new_job *job, const struct kv_result *result)
 {
 	switch (result->error) {
 	case KV_OK:
-		accepted(a, job, result->revision);
+		finish_accepted(a, job, result->revision);
 		break;
 	case KV_CONFLICT:
 		if (is_stored(job, result)) {
@@ -446,16 +453,16 @@
 		retry(a, job, 0);
 		break;
 	case KV_UNKNOWN:
-		job->unsure = true;
+		job->outcome_unknown = true;
 		retry(a, job, 0);
 		break;
 	case KV_UNAVAILABLE:
-		if (a->closed || !hand_to_leader(job))
+		if (a->closed || !forward_to_leader(job))
 			retry(a, job, RETRY_MS);
 		break;
 	case KV_COMPACTED:
 	case KV_REFUSED:
-		give_up(job, "store_refused");
+		fail(job, "store_refused");
 		break;
 	}
 }
@@ -472,7 +479,7 @@
 	a->writes--;
 	while ((job = TAILQ_FIRST(&write->jobs)) != NULL) {
 		TAILQ_REMOVE(&write->jobs, job, link);
-		settle(a, job, result);
+		handle_result(a, job, result);
 	}
 	free(write);
 	if (!a->closed)
@@ -487,7 +494,7 @@
 
 	while ((job = TAILQ_FIRST(&a->waiting)) != NULL) {
 		TAILQ_REMOVE(&a->waiting, job, link);
-		give_up(job, "closing");
+		fail(job, "closing");
 	}
 	a->closed = true;
 	accept_release(a);
--- a/entry/codec.c
+++ b/entry/codec.c
@@ -31,11 +31,11 @@
 }
 
 /*
- * Fields of records under our own prefix, which other writers reach, too: one
- * of another type spoils the record, as what it was meant to say isn't known.
+ * Other writers can reach the keys under our prefix.  A field of a wrong type
+ * makes the whole record invalid, since its intended value is unknown.
  */
 
-/* Left out it is 0. */
+/* A missing field is 0. */
 static bool
 get_number(const json_t *object, const char *key, int64_t *value)
 {
@@ -277,11 +277,11 @@
 	    get_text(object, "image", step->image, sizeof(step->image));
 }
 
-/* Rows [occurrence, step, index, ...] of the tasks worth keeping. */
+/* Progress of a job: arrays of rows [occurrence, step, index, ...]. */
 struct progress {
-	json_t *done; /* whole occurrences */
-	json_t *complete; /* whole steps */
-	json_t *tasks; /* done ones of other steps */
+	json_t *done; /* numbers of occurrences that are done */
+	json_t *complete; /* [occurrence, step] of steps that are done */
+	json_t *tasks; /* tasks that are done in other steps */
 	json_t *failures;
 	json_t *losses; /* [..., attempt, ran_ms, crashed, begun] */
 	json_t *checkpoints;
@@ -325,9 +325,10 @@
 			"[iiiI]", k, step, index, (json_int_t)task->failed[i]));
 	write_losses(p, task);
 	/*
-	 * While it runs its worker lists a newer one.  With those of all tasks
-	 * that run, each end of a wide step wrote those of all its tasks:
-	 * writes took 60 to 110 of the 250 KB/s of a leader's link.
+	 * The worker of a running task reports a newer checkpoint, so that of
+	 * the task isn't written.  If it were, each end of a task in a wide
+	 * step would write the checkpoints of all its running tasks, which
+	 * took 60 to 110 of the 250 KB/s of a leader's link.
 	 */
 	if (task->checkpoint != NULL && TAILQ_EMPTY(&task->runs))
 		json_array_append_new(p->checkpoints,
@@ -404,9 +405,9 @@
 		sched_load_task(job, k, step, i, true);
 }
 
-/* A list of rows that begin with so many whole numbers; may be left out. */
+/* Whether each row begins with that many whole numbers; NULL is valid. */
 static bool
-are_rows(const json_t *list, size_t columns)
+rows_are_valid(const json_t *list, size_t columns)
 {
 	const json_t *row;
 	uint32_t number;
@@ -425,7 +426,7 @@
 }
 
 static bool
-are_numbers(const json_t *list)
+numbers_are_valid(const json_t *list)
 {
 	const json_t *row;
 	uint32_t number;
@@ -441,9 +442,12 @@
 	return true;
 }
 
-/* Looked through whole first: half applied, tasks would count as done. */
+/*
+ * Validate the whole record before applying it: one applied in part would mark
+ * tasks as done although the record is invalid.
+ */
 static bool
-is_progress(const json_t *object)
+progress_is_valid(const json_t *object)
 {
 	const json_t *row, *checkpoints;
 	size_t i;
@@ -455,12 +459,12 @@
 			return false;
 	}
 	return json_is_object(object) &&
-	    are_numbers(json_object_get(object, "occurrences")) &&
-	    are_rows(json_object_get(object, "steps"), 2) &&
-	    are_rows(json_object_get(object, "done"), 3) &&
-	    are_rows(json_object_get(object, "failures"), 4) &&
-	    are_rows(json_object_get(object, "losses"), 7) &&
-	    are_rows(checkpoints, 3);
+	    numbers_are_valid(json_object_get(object, "occurrences")) &&
+	    rows_are_valid(json_object_get(object, "steps"), 2) &&
+	    rows_are_valid(json_object_get(object, "done"), 3) &&
+	    rows_are_valid(json_object_get(object, "failures"), 4) &&
+	    rows_are_valid(json_object_get(object, "losses"), 7) &&
+	    rows_are_valid(checkpoints, 3);
 }
 
 static void
@@ -516,7 +520,7 @@
 	if ((object = json_loadb(text, len, 0, NULL)) == NULL)
 		return -1;
 	result = -1;
-	if (is_progress(object)) {
+	if (progress_is_valid(object)) {
 		apply_progress(job, object);
 		result = 0;
 	}
--- a/entry/codec.h
+++ b/entry/codec.h
@@ -10,30 +10,38 @@
 #include "scheduler.h"
 
 /*
- * Jobs and their progress as JSON text, for the store and for messages
- * between entries.  What an earlier version didn't write has its default.
+ * Encoding of jobs and their progress as JSON text, for the store and for
+ * messages between entries.  Fields that an earlier version didn't write get
+ * their default.
  */
 
-/* A task's name as a row of so many fields; NULL: no memory. */
+/*
+ * Encode a task's name as an array of CODEC_TASK_FIELDS.  Returns NULL if out
+ * of memory.
+ */
 #define CODEC_TASK_FIELDS 4
 json_t *codec_task(const struct task_name *);
-/* The same from that column of a row on; false: it isn't one. */
+/* Decode a task's name that begins at that column; false if invalid. */
 bool codec_read_task(const json_t *row, size_t at, struct task_name *);
 
-/* Freed by the caller; NULL: no memory, or text that isn't UTF-8. */
+/*
+ * The text is freed by the caller.  Returns NULL if out of memory or if a
+ * string isn't UTF-8.
+ */
 char *codec_graph(const struct graph *, size_t *len);
-/* NULL: damaged, or no memory. */
+/* Returns NULL if the text is invalid or if out of memory. */
 struct graph *codec_read_graph(const char *, size_t len);
 
-/* What a next leader needs to know of a job that hasn't ended. */
+/* Encode what a new leader needs to know about a job that hasn't ended. */
 char *codec_progress(const struct sched_job *, size_t *len);
-/* -1: damaged.  The job must be new. */
+/* Apply progress to a new job.  Returns -1 if the text is invalid. */
 int codec_read_progress(struct sched_job *, const char *, size_t len);
 
-/* A job that ended, and when: milliseconds since 1970; 0: not told. */
+/* ended_ms: when the job ended, in ms since 1970; 0 if unknown. */
 char *codec_ended(enum sched_job_state, int64_t ended_ms, size_t *len);
+/* Returns -1 if the text is invalid. */
 int codec_read_ended(const char *, size_t len, enum sched_job_state *);
-/* 0: not told, as by an earlier version, or damaged. */
+/* Returns 0 if the text is invalid or of a version that didn't write it. */
 int64_t codec_read_ended_ms(const char *, size_t len);
 
 #endif /* CODEC_H */
--- a/entry/config.c
+++ b/entry/config.c
@@ -6,16 +6,16 @@
 #include "node_int.h"
 
 /*
- * The operators' configuration.  A watch tells of a change at once.  It can
- * be slow, cut or silent without a sign, so the key is also read when another
- * entry has a newer version, and once a while.  Only a higher version is ever
- * applied.
+ * The operators' configuration.  A watch reports changes immediately, but it
+ * can be delayed, cut off, or stop delivering without an error.  The key is
+ * therefore also read periodically, and when another entry has a newer version.
+ * Only a higher version is ever applied.
  */
 
 #define WATCH_WAIT_MS 10000
 #define RETRY_MS INT64_C(200)
-/* A watch may go deaf: a change must be in force within 2 s at worst. */
-#define READ_EVERY_MS INT64_C(900)
+/* A change must be in force within 2 s even if the watch misses it. */
+#define READ_INTERVAL_MS INT64_C(900)
 
 static void
 apply(struct node *node, const struct kv_item *item)
@@ -62,7 +62,7 @@
 	node = ctx;
 	node->config_watching = false;
 	if (result->error != KV_OK) {
-		/* Compacted, cut or refused: start again from a read. */
+		/* Compacted, cut off or refused: start over with a read. */
 		node->config_revision = 0;
 		node->config_read_ms = 0;
 		return;
@@ -77,20 +77,20 @@
 config_tick(struct node *node, int64_t now_ms)
 {
 	const struct platform_ops *world;
-	int64_t every_ms;
+	int64_t interval_ms;
 
 	world = &node->opt.platform;
-	/* The leader reads for all; others hear of a newer one from it. */
-	every_ms = READ_EVERY_MS;
+	/* The leader reads often and announces newer versions. */
+	interval_ms = READ_INTERVAL_MS;
 	if (node->lead == NULL && node->config_revision != 0 &&
 	    node->peer_config_version <= node->config_version &&
 	    now_ms - node->elect.heard_ms < RETRY_MS * 2)
-		every_ms = 10 * READ_EVERY_MS;
+		interval_ms = 10 * READ_INTERVAL_MS;
 	if (node->peer_config_version > node->config_version ||
 	    node->config_version == 0 || node->config_revision == 0)
-		every_ms = RETRY_MS;
+		interval_ms = RETRY_MS;
 	if (!node->config_reading &&
-	    now_ms - node->config_read_ms >= every_ms) {
+	    now_ms - node->config_read_ms >= interval_ms) {
 		node->config_reading = true;
 		node->config_read_ms = now_ms;
 		node->opt.kv.range(node->opt.kv.self, world->config_prefix,
--- a/entry/election.c
+++ b/entry/election.c
@@ -6,18 +6,18 @@
 #include "log.h"
 #include "node_int.h"
 
-/* The leader's record and its pulse in the store. */
+/* The leader record and the leader's heartbeat key in the store. */
 
-struct reading {
+struct record_read {
 	struct node *node;
 	struct elect_record record;
 };
 
 static void on_record(const struct kv_result *, void *);
 static void on_pulse(const struct kv_result *, void *);
-static void on_taken(const struct kv_result *, void *);
+static void on_record_written(const struct kv_result *, void *);
 
-/* false: another writer's. */
+/* Returns false if the value is not a valid leader record. */
 static bool
 decode_leader(const struct kv_item *item, struct elect_leader *leader)
 {
@@ -43,8 +43,9 @@
 }
 
 /*
- * A record that can't be read names no leader.  Its revision is still what a
- * takeover replaces: held to be unreadable, it would keep all from leading.
+ * An invalid record names no leader, but its revision is used, so that a
+ * takeover can replace it.  If it counted as a failed read, no entry could
+ * ever lead.
  */
 static void
 read_leader(
@@ -61,55 +62,54 @@
 void
 election_read_record(struct elect *e, void *ctx)
 {
-	struct reading *reading;
+	struct record_read *rr;
 	struct node *node;
 
 	node = ctx;
-	if ((reading = calloc(1, sizeof(*reading))) == NULL) {
+	if ((rr = calloc(1, sizeof(*rr))) == NULL) {
 		elect_read(e, NULL, clock_now_ms());
 		return;
 	}
-	reading->node = node;
-	node->opt.kv.get(node->opt.kv.self, KEY_LEADER, on_record, reading);
+	rr->node = node;
+	node->opt.kv.get(node->opt.kv.self, KEY_LEADER, on_record, rr);
 }
 
 static void
 on_record(const struct kv_result *result, void *ctx)
 {
-	struct reading *reading;
+	struct record_read *rr;
 	struct node *node;
 
-	reading = ctx;
-	node = reading->node;
+	rr = ctx;
+	node = rr->node;
 	if (result->error != KV_OK)
 		goto fail;
 	if (result->nitems > 0)
-		read_leader(node, &result->items[0], &reading->record);
-	node->opt.kv.get(node->opt.kv.self, KEY_PULSE, on_pulse, reading);
+		read_leader(node, &result->items[0], &rr->record);
+	node->opt.kv.get(node->opt.kv.self, KEY_PULSE, on_pulse, rr);
 	return;
 
 fail:
 	elect_read(&node->elect, NULL, clock_now_ms());
-	free(reading);
+	free(rr);
 }
 
 static void
 on_pulse(const struct kv_result *result, void *ctx)
 {
-	struct reading *reading;
+	struct record_read *rr;
 	struct node *node;
 
-	reading = ctx;
-	node = reading->node;
+	rr = ctx;
+	node = rr->node;
 	if (result->error != KV_OK)
 		elect_read(&node->elect, NULL, clock_now_ms());
 	else {
 		if (result->nitems > 0)
-			reading->record.pulse_revision =
-			    result->items[0].revision;
-		elect_read(&node->elect, &reading->record, clock_now_ms());
+			rr->record.pulse_revision = result->items[0].revision;
+		elect_read(&node->elect, &rr->record, clock_now_ms());
 	}
-	free(reading);
+	free(rr);
 }
 
 void
@@ -147,21 +147,22 @@
 	    (unsigned long long)term,
 	    e->leader.id[0] != '\0' ? e->leader.id : "-",
 	    (long long)(clock_now_ms() - e->heard_ms));
-	node->opt.kv.txn(node->opt.kv.self, &txn, on_taken, node);
+	node->opt.kv.txn(node->opt.kv.self, &txn, on_record_written, node);
 	free(value);
 }
 
 static void
-on_taken(const struct kv_result *result, void *ctx)
+on_record_written(const struct kv_result *result, void *ctx)
 {
-	enum elect_write_result taken;
+	enum elect_write_result outcome;
 	struct node *node;
 
 	node = ctx;
-	taken = ELECT_WRITE_CONFLICT;
+	outcome = ELECT_WRITE_CONFLICT;
 	if (result->error == KV_OK)
-		taken = ELECT_WRITE_DONE;
+		outcome = ELECT_WRITE_DONE;
 	else if (result->error == KV_UNKNOWN)
-		taken = ELECT_WRITE_UNKNOWN;
-	elect_write_done(&node->elect, taken, result->revision, clock_now_ms());
+		outcome = ELECT_WRITE_UNKNOWN;
+	elect_write_done(
+	    &node->elect, outcome, result->revision, clock_now_ms());
 }
--- a/entry/leader_request.c
+++ b/entry/leader_request.c
@@ -7,116 +7,116 @@
 #include "node_int.h"
 
 /*
- * Requests of callers for the leader.  They are idempotent, so each is sent
- * again until it is answered, also to the next leader.  Where none answers,
- * the state of a job is read from the store.
+ * Callers' requests to the leader.  They are idempotent, so each is resent
+ * until it is answered, also to a new leader.  While no leader answers, the
+ * state of a job is read from the store.
  */
 
 #define RESEND_MS 300
-/* Without an answer of a leader for so long, the store is read. */
+/* The store is read if no leader has answered for this long. */
 #define STORE_AFTER_MS 600
-/* Answered so long before the caller gives up. */
+/* The caller is answered this long before its deadline. */
 #define DEADLINE_MARGIN_MS 100
-/* Come back when another leader may lead, in milliseconds. */
-#define NO_LEADER_RETRY_MS 1000
+/* Retry-after time for callers; a new leader is expected by then. */
+#define NO_LEADER_RETRY_AFTER_MS 1000
 
 static const char *const kind_names[] = { "state", "cancel", "job", "store" };
 
-static void send_ask(struct leader_request *, int64_t);
+static void request_send(struct leader_request *, int64_t);
 
 static void
-ask_free(struct leader_request *ask)
+request_free(struct leader_request *req)
 {
-	TAILQ_REMOVE(&ask->node->leader_requests, ask, link);
-	free(ask->body);
-	free(ask);
+	TAILQ_REMOVE(&req->node->leader_requests, req, link);
+	free(req->body);
+	free(req);
 }
 
 /*
- * Tell the caller; the ask is over unless a read of the store is under way.
- * "Not stored" is certain only from the one entry that was asked once: of two
- * that were, the other may be storing the job yet.
+ * Answer the caller, and free the request unless a read of the store is in
+ * flight.  A reply that the job was not stored is certain only if the request
+ * was sent once: otherwise another entry may still store the job.
  */
 static void
-ask_finish(struct leader_request *ask, const struct node_reply *reply)
+request_finish(struct leader_request *req, const struct node_reply *reply)
 {
-	struct node_reply unsure;
+	struct node_reply unknown;
 	node_replied *replied;
 
-	if (ask->kind == LEADER_REQUEST_STORE && ask->sent > 1 &&
+	if (req->kind == LEADER_REQUEST_STORE && req->sent > 1 &&
 	    reply->outcome == NODE_NOT_DONE) {
-		unsure = *reply;
-		unsure.outcome = NODE_NO_ANSWER;
-		reply = &unsure;
+		unknown = *reply;
+		unknown.outcome = NODE_NO_ANSWER;
+		reply = &unknown;
 	}
-	replied = ask->replied;
-	ask->replied = NULL;
-	ask->dead = true;
+	replied = req->replied;
+	req->replied = NULL;
+	req->dead = true;
 	if (replied != NULL)
-		replied(reply, ask->ctx);
-	if (!ask->reading)
-		ask_free(ask);
+		replied(reply, req->ctx);
+	if (!req->reading)
+		request_free(req);
 }
 
 struct leader_request *
 leader_request_new(struct node *node, enum leader_request_kind kind,
     const char *job, int64_t deadline_ms, node_replied *replied, void *ctx)
 {
-	struct leader_request *ask;
+	struct leader_request *req;
 
-	if ((ask = calloc(1, sizeof(*ask))) == NULL)
+	if ((req = calloc(1, sizeof(*req))) == NULL)
 		return NULL;
-	ask->node = node;
-	ask->number = ++node->next_request;
-	ask->kind = kind;
-	strlcpy(ask->job, job, sizeof(ask->job));
-	ask->created_ms = clock_now_ms();
-	ask->deadline_ms = deadline_ms;
-	ask->replied = replied;
-	ask->ctx = ctx;
-	TAILQ_INSERT_TAIL(&node->leader_requests, ask, link);
-	return ask;
+	req->node = node;
+	req->number = ++node->next_request;
+	req->kind = kind;
+	strlcpy(req->job, job, sizeof(req->job));
+	req->created_ms = clock_now_ms();
+	req->deadline_ms = deadline_ms;
+	req->replied = replied;
+	req->ctx = ctx;
+	TAILQ_INSERT_TAIL(&node->leader_requests, req, link);
+	return req;
 }
 
 static struct leader_request *
-ask_find(struct node *node, uint64_t number)
+request_find(struct node *node, uint64_t number)
 {
-	struct leader_request *ask;
+	struct leader_request *req;
 
-	TAILQ_FOREACH (ask, &node->leader_requests, link) {
-		if (ask->number == number && !ask->dead)
-			return ask;
+	TAILQ_FOREACH (req, &node->leader_requests, link) {
+		if (req->number == number && !req->dead)
+			return req;
 	}
 	return NULL;
 }
 
 static void
-on_own_answer(const struct node_reply *reply, uint64_t number, const char *from,
-    void *ctx)
+on_local_answer(const struct node_reply *reply, uint64_t number,
+    const char *from, void *ctx)
 {
-	struct leader_request *ask;
+	struct leader_request *req;
 
 	(void)from;
-	if ((ask = ask_find(ctx, number)) != NULL)
-		ask_finish(ask, reply);
+	if ((req = request_find(ctx, number)) != NULL)
+		request_finish(req, reply);
 }
 
 static void
-send_ask(struct leader_request *ask, int64_t now_ms)
+request_send(struct leader_request *req, int64_t now_ms)
 {
 	struct stored_job stored;
 	struct node *node;
 	json_t *message;
 
-	node = ask->node;
-	ask->resend_ms = now_ms + RESEND_MS;
+	node = req->node;
+	req->resend_ms = now_ms + RESEND_MS;
 	if (node->lead != NULL) {
-		ask->sent++;
-		stored.text = ask->body;
-		stored.len = ask->body_len;
-		stored.revision = ask->revision;
-		lead_request(node->lead, ask->kind, ask->job, &stored,
-		    ask->number, "", on_own_answer, node);
+		req->sent++;
+		stored.text = req->body;
+		stored.len = req->body_len;
+		stored.revision = req->revision;
+		lead_request(node->lead, req->kind, req->job, &stored,
+		    req->number, "", on_local_answer, node);
 		return;
 	}
 	if (node->elect.leader.id[0] == '\0' ||
@@ -124,25 +124,25 @@
 		return;
 	message =
 	    json_pack("{ss ss ss sI ss ss}", "t", "request", "id", node->id,
-		"address", node->address, "number", (json_int_t)ask->number,
-		"kind", kind_names[ask->kind], "job", ask->job);
-	if (ask->body != NULL) {
+		"address", node->address, "number", (json_int_t)req->number,
+		"kind", kind_names[req->kind], "job", req->job);
+	if (req->body != NULL) {
 		json_object_set_new(
-		    message, "body", json_stringn(ask->body, ask->body_len));
+		    message, "body", json_stringn(req->body, req->body_len));
 		json_object_set_new(
-		    message, "revision", json_integer(ask->revision));
+		    message, "revision", json_integer(req->revision));
 	}
 	if (members_send(node, node->elect.leader.id, message))
-		ask->sent++;
+		req->sent++;
 	else
-		ask->resend_ms = now_ms;
+		req->resend_ms = now_ms;
 }
 
-/* The leader's side: a request of another entry. */
+/* The leader's side: requests from other entries. */
 
 static void
-on_leader_answer(const struct node_reply *reply, uint64_t number,
-    const char *from, void *ctx)
+send_reply(const struct node_reply *reply, uint64_t number, const char *from,
+    void *ctx)
 {
 	struct node *node;
 
@@ -182,7 +182,7 @@
 		    &stored,
 		    (uint64_t)json_integer_value(
 			json_object_get(message, "number")),
-		    from, on_leader_answer, node);
+		    from, send_reply, node);
 	}
 }
 
@@ -190,11 +190,11 @@
 leader_requests_handle_answer(struct node *node, const json_t *message)
 {
 	struct node_reply reply;
-	struct leader_request *ask;
+	struct leader_request *req;
 
-	ask = ask_find(node,
+	req = request_find(node,
 	    (uint64_t)json_integer_value(json_object_get(message, "number")));
-	if (ask == NULL)
+	if (req == NULL)
 		return;
 	memset(&reply, 0, sizeof(reply));
 	reply.outcome = (enum node_outcome)json_integer_value(
@@ -204,22 +204,22 @@
 	reply.retry_after_ms =
 	    json_integer_value(json_object_get(message, "retry_after_ms"));
 	reply.reason = "leader";
-	ask_finish(ask, &reply);
+	request_finish(req, &reply);
 }
 
 void
 leader_requests_leader_changed(struct node *node)
 {
-	struct leader_request *ask;
+	struct leader_request *req;
 
-	TAILQ_FOREACH (ask, &node->leader_requests, link)
-		ask->resend_ms = 0;
+	TAILQ_FOREACH (req, &node->leader_requests, link)
+		req->resend_ms = 0;
 }
 
-/* The store's word on a job, while no leader answers. */
+/* Reading a job's state from the store while no leader answers. */
 
 static void
-finish_from_store(struct leader_request *ask, enum node_outcome outcome,
+finish_from_store(struct leader_request *req, enum node_outcome outcome,
     enum sched_job_state state)
 {
 	struct node_reply reply;
@@ -228,152 +228,154 @@
 	reply.outcome = outcome;
 	reply.state = state;
 	reply.reason = "store";
-	ask_finish(ask, &reply);
+	request_finish(req, &reply);
 }
 
+/* Returns true if the read failed, or if the caller was answered already. */
 static bool
-read_over(struct leader_request *ask, const struct kv_result *result)
+read_failed(struct leader_request *req, const struct kv_result *result)
 {
-	ask->reading = false;
-	if (ask->dead) {
-		ask_free(ask);
+	req->reading = false;
+	if (req->dead) {
+		request_free(req);
 		return true;
 	}
 	if (result->error != KV_OK) {
-		ask->read_ms = clock_now_ms() + RESEND_MS;
+		req->read_ms = clock_now_ms() + RESEND_MS;
 		return true;
 	}
 	return false;
 }
 
 /*
- * A job leaves its first key in the same write that makes the key of its end.
- * Read in this order, one that ends meanwhile is found at its end; the other
- * way round it would be taken for unknown.
+ * The write that creates the key of a job's end also removes the key of the
+ * submitted job.  The submitted job is therefore read first: a job that ends
+ * between the reads is found under its end.  In the opposite order it would be
+ * reported as unknown.
  */
 static void
-read_key(struct leader_request *ask, const char *prefix, kv_done *done)
+read_key(struct leader_request *req, const char *prefix, kv_done *done)
 {
 	char key[KEY_MAX];
 
-	ask->reading = true;
-	snprintf(key, sizeof(key), "%s%s", prefix, ask->job);
-	ask->node->opt.kv.get(ask->node->opt.kv.self, key, done, ask);
+	req->reading = true;
+	snprintf(key, sizeof(key), "%s%s", prefix, req->job);
+	req->node->opt.kv.get(req->node->opt.kv.self, key, done, req);
 }
 
 static void
 on_progress(const struct kv_result *result, void *ctx)
 {
-	struct leader_request *ask;
+	struct leader_request *req;
 
-	ask = ctx;
-	if (read_over(ask, result))
+	req = ctx;
+	if (read_failed(req, result))
 		return;
 	finish_from_store(
-	    ask, NODE_STATE, result->nitems > 0 ? JOB_RUNNING : JOB_QUEUED);
+	    req, NODE_STATE, result->nitems > 0 ? JOB_RUNNING : JOB_QUEUED);
 }
 
 static void
 on_ended(const struct kv_result *result, void *ctx)
 {
 	enum sched_job_state state;
-	struct leader_request *ask;
+	struct leader_request *req;
 
-	ask = ctx;
-	if (read_over(ask, result))
+	req = ctx;
+	if (read_failed(req, result))
 		return;
 	if (result->nitems == 0)
-		finish_from_store(ask, NODE_UNKNOWN_JOB, JOB_QUEUED);
+		finish_from_store(req, NODE_UNKNOWN_JOB, JOB_QUEUED);
 	else if (codec_read_ended(
 		     result->items[0].value, result->items[0].len, &state) == 0)
-		finish_from_store(ask, NODE_STATE, state);
+		finish_from_store(req, NODE_STATE, state);
 	else {
 		refused_note(
-		    &ask->node->refused, result->items[0].key, "not_an_end");
-		finish_from_store(ask, NODE_UNKNOWN_JOB, JOB_QUEUED);
+		    &req->node->refused, result->items[0].key, "not_an_end");
+		finish_from_store(req, NODE_UNKNOWN_JOB, JOB_QUEUED);
 	}
 }
 
 static void
 on_job(const struct kv_result *result, void *ctx)
 {
-	struct leader_request *ask;
+	struct leader_request *req;
 
-	ask = ctx;
-	if (read_over(ask, result))
+	req = ctx;
+	if (read_failed(req, result))
 		return;
 	if (result->nitems > 0)
-		read_key(ask, KEY_PROGRESS, on_progress);
+		read_key(req, KEY_PROGRESS, on_progress);
 	else
-		read_key(ask, KEY_ENDED, on_ended);
+		read_key(req, KEY_ENDED, on_ended);
 }
 
 static void
-read_store(struct leader_request *ask)
+read_store(struct leader_request *req)
 {
-	read_key(ask, KEY_JOB, on_job);
+	read_key(req, KEY_JOB, on_job);
 }
 
 static void
-expire(struct leader_request *ask)
+expire(struct leader_request *req)
 {
 	struct node_reply reply;
 
 	memset(&reply, 0, sizeof(reply));
 	reply.outcome = NODE_NO_ANSWER;
 	reply.reason = "no_leader";
-	if ((ask->kind == LEADER_REQUEST_CANCEL ||
-		ask->kind == LEADER_REQUEST_STORE) &&
-	    ask->sent == 0) {
+	if ((req->kind == LEADER_REQUEST_CANCEL ||
+		req->kind == LEADER_REQUEST_STORE) &&
+	    req->sent == 0) {
 		reply.outcome = NODE_NOT_DONE;
-		reply.retry_after_ms = NO_LEADER_RETRY_MS;
+		reply.retry_after_ms = NO_LEADER_RETRY_AFTER_MS;
 	}
-	counter_reason("lagoonpin_ask_expired", kind_names[ask->kind]);
-	ask_finish(ask, &reply);
+	counter_reason("lagoonpin_ask_expired", kind_names[req->kind]);
+	request_finish(req, &reply);
 }
 
 void
 leader_requests_tick(struct node *node, int64_t now_ms)
 {
-	struct leader_request *ask, *next;
+	struct leader_request *req, *next;
 
-	for (ask = TAILQ_FIRST(&node->leader_requests); ask != NULL;
-	     ask = next) {
-		next = TAILQ_NEXT(ask, link);
-		if (ask->dead)
+	for (req = TAILQ_FIRST(&node->leader_requests); req != NULL;
+	     req = next) {
+		next = TAILQ_NEXT(req, link);
+		if (req->dead)
 			continue;
-		if (now_ms >= ask->deadline_ms - DEADLINE_MARGIN_MS) {
-			expire(ask);
+		if (now_ms >= req->deadline_ms - DEADLINE_MARGIN_MS) {
+			expire(req);
 			continue;
 		}
-		if (now_ms >= ask->resend_ms)
-			send_ask(ask, now_ms);
+		if (now_ms >= req->resend_ms)
+			request_send(req, now_ms);
 	}
-	TAILQ_FOREACH (ask, &node->leader_requests, link) {
-		if (!ask->dead && ask->kind == LEADER_REQUEST_STATE &&
-		    !ask->reading &&
-		    now_ms - ask->created_ms >= STORE_AFTER_MS &&
-		    now_ms >= ask->read_ms)
-			read_store(ask);
+	TAILQ_FOREACH (req, &node->leader_requests, link) {
+		if (!req->dead && req->kind == LEADER_REQUEST_STATE &&
+		    !req->reading &&
+		    now_ms - req->created_ms >= STORE_AFTER_MS &&
+		    now_ms >= req->read_ms)
+			read_store(req);
 	}
 }
 
 void
 leader_requests_close(struct node *node)
 {
-	struct leader_request *ask, *next;
+	struct leader_request *req, *next;
 
-	for (ask = TAILQ_FIRST(&node->leader_requests); ask != NULL;
-	     ask = next) {
-		next = TAILQ_NEXT(ask, link);
-		if (!ask->dead)
-			expire(ask);
+	for (req = TAILQ_FIRST(&node->leader_requests); req != NULL;
+	     req = next) {
+		next = TAILQ_NEXT(req, link);
+		if (!req->dead)
+			expire(req);
 	}
 }
 
 static void
-ask_or_refuse(struct node *node, enum leader_request_kind kind, const char *job,
-    int64_t deadline_ms, node_replied *replied, void *ctx)
+submit_request(struct node *node, enum leader_request_kind kind,
+    const char *job, int64_t deadline_ms, node_replied *replied, void *ctx)
 {
 	struct node_reply reply;
 
@@ -382,7 +384,7 @@
 		return;
 	memset(&reply, 0, sizeof(reply));
 	reply.outcome = NODE_NOT_DONE;
-	reply.retry_after_ms = NO_LEADER_RETRY_MS;
+	reply.retry_after_ms = NO_LEADER_RETRY_AFTER_MS;
 	reply.reason = "memory";
 	replied(&reply, ctx);
 }
@@ -391,7 +393,7 @@
 node_state(struct node *node, const char *job, int64_t deadline_ms,
     node_replied *replied, void *ctx)
 {
-	ask_or_refuse(
+	submit_request(
 	    node, LEADER_REQUEST_STATE, job, deadline_ms, replied, ctx);
 }
 
@@ -399,6 +401,6 @@
 node_cancel(struct node *node, const char *job, int64_t deadline_ms,
     node_replied *replied, void *ctx)
 {
-	ask_or_refuse(
+	submit_request(
 	    node, LEADER_REQUEST_CANCEL, job, deadline_ms, replied, ctx);
 }
--- a/entry/members.c
+++ b/entry/members.c
@@ -7,46 +7,48 @@
 #include "node_int.h"
 
 /*
- * Messages between entries: the leader's beats, the members' greetings, the
- * questions before a takeover, and callers' requests on their way to the
- * leader.  A message may be lost; each kind is repeated or asked for again.
+ * Messages between entries: heartbeats of the leader, hello messages of the
+ * members, vote requests and votes before a takeover, and callers' requests
+ * that are forwarded to the leader.  Messages may be lost; each kind is sent
+ * periodically or resent by its sender until answered.
  */
 
-/* Four beats fit into the silence that makes a leader suspect. */
-#define BEAT_MS 150
+/* Members suspect the leader after the time of four heartbeats. */
+#define HEARTBEAT_MS 150
 #define HELLO_MS 500
-/* A member that is silent so long is left out of the list. */
-#define MEMBER_MS 3000
+/* A member that sent no hello for this long is removed from the list. */
+#define MEMBER_TIMEOUT_MS 3000
 /*
- * A member that hasn't confirmed the newest list gets it again so often, in
- * milliseconds: greetings, which confirm it, come each HELLO_MS.  Sent to all
- * in turn it would take bytes by the square of the members.
+ * Minimum interval of resending the member list to a member that hasn't
+ * confirmed the current version.  The hello message confirms it, so the
+ * interval exceeds HELLO_MS.  Sending the list with every heartbeat would cost
+ * bandwidth quadratic in the number of members.
  */
-#define LIST_MS 600
-/* What was learnt of fillers goes with every so many: each 2.1 s. */
-#define LEARNT_EVERY 14
-/* To so many that would lead next; others find it in the store. */
-#define LEARNT_HEIRS 3
+#define LIST_RESEND_MS 600
+/* Learned interference effects go with every 14th heartbeat: each 2.1 s. */
+#define LEARNT_EVERY_HEARTBEATS 14
+/* Only the first in the order of succession get them; others read the store. */
+#define LEARNT_SUCCESSORS 3
 
-/* A member with so many times our power leads better, */
-#define STRONGER_TIMES 1.5
-/* if it was heard so lately: its greetings come each HELLO_MS. */
-#define STRONGER_HEARD_MS 1200
+/* A member of at least this multiple of our power should lead instead, */
+#define STRONGER_FACTOR 1.5
+/* if its last hello, sent each HELLO_MS, is no older than this. */
+#define STRONGER_HELLO_MAX_MS 1200
 
 #define ZMTP_HEARTBEAT_MS 500
 #define ZMTP_TIMEOUT_MS 1500
 #define QUEUE_MAX 4096
 #define MESSAGE_MAX ((size_t)4 * 1024 * 1024)
-/* Of numbers with a fraction: figures learnt are good for two. */
-#define DIGITS 4
-/* kind="..." of a counter. */
+/* Significant digits of reals in JSON; learned effects are exact to two. */
+#define REAL_DIGITS 4
+/* Size of the label kind="..." of a counter. */
 #define KIND_LABEL_MAX 64
 
 static void on_message(const void *, size_t, void *);
-static void send_beats(struct node *, int64_t);
+static void send_heartbeats(struct node *, int64_t);
 
 static const char *
-text_of(const json_t *message, const char *key)
+get_text(const json_t *message, const char *key)
 {
 	const char *text;
 
@@ -55,7 +57,7 @@
 }
 
 static int64_t
-number_of(const json_t *message, const char *key)
+get_integer(const json_t *message, const char *key)
 {
 	return json_integer_value(json_object_get(message, key));
 }
@@ -94,7 +96,7 @@
 }
 
 static void
-forget_members(struct node *node)
+free_members(struct node *node)
 {
 	struct member *member;
 
@@ -107,11 +109,11 @@
 void
 members_close(struct node *node)
 {
-	forget_members(node);
+	free_members(node);
 	peer_close(node->peer);
 }
 
-/* Bytes by kind of message: what the entry's link is used for. */
+/* Count the bytes sent by kind of message. */
 static void
 count_sent(const char *kind, size_t len)
 {
@@ -141,10 +143,11 @@
 
 	if (message == NULL)
 		return false;
-	text = json_dumps(message, JSON_COMPACT | JSON_REAL_PRECISION(DIGITS));
+	text = json_dumps(
+	    message, JSON_COMPACT | JSON_REAL_PRECISION(REAL_DIGITS));
 	sent = text != NULL &&
 	    members_send_bytes(
-		node, id, text_of(message, "t"), text, strlen(text));
+		node, id, get_text(message, "t"), text, strlen(text));
 	json_decref(message);
 	free(text);
 	return sent;
@@ -162,7 +165,7 @@
 	return NULL;
 }
 
-/* In order of who should lead next: the strongest first. */
+/* The list is in the order of succession: by decreasing power, then by id. */
 static void
 insert_member(struct node *node, struct member *member)
 {
@@ -180,7 +183,8 @@
 }
 
 static struct member *
-set_member(struct node *node, const char *id, const char *address, double power)
+add_or_update_member(
+    struct node *node, const char *id, const char *address, double power)
 {
 	struct member *member;
 
@@ -213,23 +217,23 @@
 	const struct member *member;
 
 	TAILQ_FOREACH (member, &node->members, link) {
-		if (member->power >= STRONGER_TIMES * node->opt.power &&
+		if (member->power >= STRONGER_FACTOR * node->opt.power &&
 		    !member->leaving && member->has_store &&
 		    member->term == node->elect.leader.term &&
-		    now_ms - member->heard_ms < STRONGER_HEARD_MS)
+		    now_ms - member->heard_ms < STRONGER_HELLO_MAX_MS)
 			return true;
 	}
 	return false;
 }
 
-/* The election's callbacks. */
+/* Callbacks of the election. */
 
 static void
-ask_members(struct elect *e, void *ctx)
+request_votes(struct elect *e, void *ctx)
 {
 	struct member *member;
 	struct node *node;
-	bool leader_asked;
+	bool leader_is_member;
 	json_t *message;
 
 	node = ctx;
@@ -237,13 +241,13 @@
 	    "address", node->address, "term", (json_int_t)e->leader.term,
 	    "leader", e->leader.id, "incarnation",
 	    (json_int_t)e->leader.incarnation);
-	leader_asked = false;
+	leader_is_member = false;
 	TAILQ_FOREACH (member, &node->members, link) {
 		if (strcmp(member->id, e->leader.id) == 0)
-			leader_asked = true;
+			leader_is_member = true;
 		members_send(node, member->id, json_incref(message));
 	}
-	if (!leader_asked && e->leader.id[0] != '\0' &&
+	if (!leader_is_member && e->leader.id[0] != '\0' &&
 	    strcmp(e->leader.id, node->id) != 0 &&
 	    peer_connect(node->peer, e->leader.id, e->leader.address) ==
 		PEER_OK)
@@ -275,15 +279,15 @@
 }
 
 const struct elect_actions node_elect_actions = {
-	ask_members,
+	request_votes,
 	election_read_record,
 	election_write_record,
 	on_changed,
 };
 
-/* What arrives. */
+/* Received messages. */
 
-/* Which workers it is near to: known with its first greeting. */
+/* The relay of orders prefers members in the worker's data centre. */
 static void
 set_data_center(struct node *node, struct member *member, const char *name)
 {
@@ -299,33 +303,38 @@
 	struct member *member;
 	int64_t config;
 
-	config = number_of(message, "config");
+	config = get_integer(message, "config");
 	if (config > node->peer_config_version)
 		node->peer_config_version = config;
 	if (node->lead == NULL)
 		return;
-	member = set_member(node, text_of(message, "id"),
-	    text_of(message, "address"),
+	member = add_or_update_member(node, get_text(message, "id"),
+	    get_text(message, "address"),
 	    json_number_value(json_object_get(message, "power")));
 	if (member == NULL)
 		return;
 	member->heard_ms = now_ms;
-	member->term = (uint64_t)number_of(message, "term");
+	member->term = (uint64_t)get_integer(message, "term");
 	member->leaving = json_is_true(json_object_get(message, "leaving"));
 	member->has_store = json_is_true(json_object_get(message, "store"));
-	member->can_relay = number_of(message, "carries") == RELAY_VERSION;
-	member->listed = (uint64_t)number_of(message, "listed");
-	set_data_center(node, member, text_of(message, "data_center"));
+	member->can_relay = get_integer(message, "carries") == RELAY_VERSION;
+	member->listed = (uint64_t)get_integer(message, "listed");
+	set_data_center(node, member, get_text(message, "data_center"));
 }
 
-/* What a next leader needs at once: near members make its first calls. */
+/*
+ * Load one row of the leader's member list.  It includes the data centre and
+ * the relay version, so that a new leader can relay its first calls through
+ * members before it has received their hello messages.
+ */
 static void
-read_member(struct node *node, const json_t *row)
+load_member(struct node *node, const json_t *row)
 {
 	struct member *member;
 	const char *data_center;
 
-	member = set_member(node, json_string_value(json_array_get(row, 0)),
+	member = add_or_update_member(node,
+	    json_string_value(json_array_get(row, 0)),
 	    json_string_value(json_array_get(row, 1)),
 	    json_number_value(json_array_get(row, 2)));
 	if (member == NULL)
@@ -339,22 +348,22 @@
 }
 
 static void
-read_members(struct node *node, const json_t *list)
+load_member_list(struct node *node, const json_t *list)
 {
 	const json_t *row;
 	size_t i;
 
-	forget_members(node);
+	free_members(node);
 	json_array_foreach(list, i, row)
 	{
 		if (i >= MEMBERS_MAX)
 			break;
-		read_member(node, row);
+		load_member(node, row);
 	}
 }
 
 static bool
-members_valid(const json_t *list)
+member_list_is_valid(const json_t *list)
 {
 	const json_t *row;
 	size_t i;
@@ -370,9 +379,12 @@
 	return true;
 }
 
-/* Takes the list over; NULL: the leader's version knows of none. */
+/*
+ * Takes ownership of the list.  NULL if the leader runs a version that doesn't
+ * send one.
+ */
 static void
-set_full(struct node *node, json_t *full, int64_t now_ms)
+set_full_queues(struct node *node, json_t *full, int64_t now_ms)
 {
 	json_decref(node->full);
 	node->full = full;
@@ -380,7 +392,7 @@
 }
 
 static void
-on_beat(struct node *node, const json_t *message, int64_t now_ms)
+on_heartbeat(struct node *node, const json_t *message, int64_t now_ms)
 {
 	struct elect_leader leader;
 	const json_t *list;
@@ -388,31 +400,31 @@
 	int64_t config;
 
 	memset(&leader, 0, sizeof(leader));
-	strlcpy(leader.id, text_of(message, "id"), sizeof(leader.id));
-	strlcpy(leader.address, text_of(message, "address"),
+	strlcpy(leader.id, get_text(message, "id"), sizeof(leader.id));
+	strlcpy(leader.address, get_text(message, "address"),
 	    sizeof(leader.address));
-	leader.incarnation = (uint64_t)number_of(message, "incarnation");
-	leader.term = (uint64_t)number_of(message, "term");
-	leader.revision = number_of(message, "revision");
+	leader.incarnation = (uint64_t)get_integer(message, "incarnation");
+	leader.term = (uint64_t)get_integer(message, "term");
+	leader.revision = get_integer(message, "revision");
 	if (leader.id[0] == '\0' || strcmp(leader.id, node->id) == 0)
 		return;
 	before = node->elect.leader.term;
 	if (!elect_heartbeat(&node->elect, &leader,
 		json_is_true(json_object_get(message, "store")),
-		(uint32_t)number_of(message, "rank"),
-		(uint32_t)number_of(message, "members"), now_ms)) {
+		(uint32_t)get_integer(message, "rank"),
+		(uint32_t)get_integer(message, "members"), now_ms)) {
 		return;
 	}
 	if (leader.term > before || member_get(node, leader.id) == NULL)
 		peer_connect(node->peer, leader.id, leader.address);
 	list = json_object_get(message, "list");
-	if (members_valid(list)) {
-		read_members(node, list);
+	if (member_list_is_valid(list)) {
+		load_member_list(node, list);
 		node->members_list_version =
-		    (uint64_t)number_of(message, "listed");
+		    (uint64_t)get_integer(message, "listed");
 		node->members_list_term = leader.term;
 	}
-	config = number_of(message, "config");
+	config = get_integer(message, "config");
 	if (config > node->peer_config_version)
 		node->peer_config_version = config;
 	if (json_is_array(json_object_get(message, "learnt"))) {
@@ -422,23 +434,24 @@
 	json_decref(node->pending);
 	node->pending = json_incref(json_object_get(message, "pending"));
 	node->pending_ms = now_ms;
-	set_full(node, json_incref(json_object_get(message, "full")), now_ms);
+	set_full_queues(
+	    node, json_incref(json_object_get(message, "full")), now_ms);
 }
 
 static void
-on_ask(struct node *node, const json_t *message, int64_t now_ms)
+on_vote_request(struct node *node, const json_t *message, int64_t now_ms)
 {
 	const char *id;
 	uint64_t term;
 	bool resigned;
 
-	id = text_of(message, "id");
-	term = (uint64_t)number_of(message, "term");
+	id = get_text(message, "id");
+	term = (uint64_t)get_integer(message, "term");
 	if (id[0] == '\0' ||
-	    peer_connect(node->peer, id, text_of(message, "address")) !=
+	    peer_connect(node->peer, id, get_text(message, "address")) !=
 		PEER_OK)
 		return;
-	resigned = strcmp(text_of(message, "leader"), node->id) == 0 &&
+	resigned = strcmp(get_text(message, "leader"), node->id) == 0 &&
 	    (node->lead == NULL || node->elect.leader.term != term);
 	members_send(node, id,
 	    json_pack("{ss ss sI sb sb}", "t", "vote", "id", node->id, "term",
@@ -449,11 +462,11 @@
 		node->heartbeat_ms = 0;
 }
 
-/* The leader gave up its term: no need to wait for silence. */
+/* The leader resigned: an election starts without waiting for a timeout. */
 static void
 on_resign(struct node *node, const json_t *message, int64_t now_ms)
 {
-	elect_resigned(&node->elect, (uint64_t)number_of(message, "term"),
+	elect_resigned(&node->elect, (uint64_t)get_integer(message, "term"),
 	    json_is_true(json_object_get(message, "alone")), now_ms);
 }
 
@@ -472,13 +485,13 @@
 static void
 on_vote(struct node *node, const json_t *message)
 {
-	elect_vote(&node->elect, (uint64_t)number_of(message, "term"),
+	elect_vote(&node->elect, (uint64_t)get_integer(message, "term"),
 	    json_is_true(json_object_get(message, "grant")),
 	    json_is_true(json_object_get(message, "resigned")));
 }
 
 static void
-on_carried(struct node *node, const void *data, size_t len)
+on_relay_message(struct node *node, const void *data, size_t len)
 {
 	if (relay_is_orders(data, len))
 		relay_handle_orders(node, data, len);
@@ -498,7 +511,7 @@
 	if (node->closing)
 		return;
 	if (relay_is_message(data, len)) {
-		on_carried(node, data, len);
+		on_relay_message(node, data, len);
 		return;
 	}
 	now_ms = clock_now_ms();
@@ -506,13 +519,13 @@
 		counter_reason("lagoonpin_peer_refused", "not_json");
 		return;
 	}
-	type = text_of(message, "t");
+	type = get_text(message, "t");
 	if (strcmp(type, "beat") == 0)
-		on_beat(node, message, now_ms);
+		on_heartbeat(node, message, now_ms);
 	else if (strcmp(type, "hello") == 0)
 		on_hello(node, message, now_ms);
 	else if (strcmp(type, "ask") == 0)
-		on_ask(node, message, now_ms);
+		on_vote_request(node, message, now_ms);
 	else if (strcmp(type, "resign") == 0)
 		on_resign(node, message, now_ms);
 	else if (strcmp(type, "vote") == 0)
@@ -528,10 +541,10 @@
 	json_decref(message);
 }
 
-/* What goes out by itself. */
+/* Periodic messages. */
 
 static json_t *
-list_members(struct node *node)
+encode_member_list(struct node *node)
 {
 	struct member *member;
 	json_t *list;
@@ -550,17 +563,20 @@
 }
 
 static void
-drop_silent(struct node *node, int64_t now_ms)
+remove_silent_members(struct node *node, int64_t now_ms)
 {
 	struct member *member, *next;
 
-	/* It counts among those that may lead by now. */
+	/*
+	 * Without the store we may have been replaced: a silent member may
+	 * be the new leader or follow it, and still counts.
+	 */
 	if (!lead_has_store(node->lead, now_ms))
 		return;
 	for (member = TAILQ_FIRST(&node->members); member != NULL;
 	     member = next) {
 		next = TAILQ_NEXT(member, link);
-		if (now_ms - member->heard_ms < MEMBER_MS)
+		if (now_ms - member->heard_ms < MEMBER_TIMEOUT_MS)
 			continue;
 		log_info("member_lost", "member=%s silent_ms=%lld", member->id,
 		    (long long)(now_ms - member->heard_ms));
@@ -572,20 +588,21 @@
 	}
 }
 
-/* The member's newest word is that it has another list. */
+/* Whether the member's last hello reported another version of the list. */
 static bool
-needs_list(const struct node *node, struct member *member, int64_t now_ms)
+needs_member_list(
+    const struct node *node, struct member *member, int64_t now_ms)
 {
 	if (member->listed == node->members_version ||
-	    now_ms - member->list_sent_ms < LIST_MS)
+	    now_ms - member->list_sent_ms < LIST_RESEND_MS)
 		return false;
 	member->list_sent_ms = now_ms;
 	return true;
 }
 
-/* What all beats of one round have in common. */
+/* The fields that are the same for all members. */
 static json_t *
-common_beat(struct node *node, int64_t now_ms, uint32_t members)
+heartbeat_common(struct node *node, int64_t now_ms, uint32_t members)
 {
 	return json_pack("{ss ss ss sI sI sI sb sI si so sO}", "t", "beat",
 	    "id", node->id, "address", node->address, "incarnation",
@@ -598,20 +615,20 @@
 }
 
 static json_t *
-beat_for(struct node *node, struct member *member, const json_t *common,
-    json_t *list, uint32_t rank, int64_t now_ms)
+heartbeat_for_member(struct node *node, struct member *member,
+    const json_t *common, json_t *list, uint32_t rank, int64_t now_ms)
 {
-	json_t *beat;
+	json_t *heartbeat;
 
-	if ((beat = json_copy((json_t *)common)) == NULL)
+	if ((heartbeat = json_copy((json_t *)common)) == NULL)
 		return NULL;
-	json_object_set_new(beat, "rank", json_integer(rank));
-	if (needs_list(node, member, now_ms)) {
-		json_object_set(beat, "list", list);
-		json_object_set_new(beat, "listed",
+	json_object_set_new(heartbeat, "rank", json_integer(rank));
+	if (needs_member_list(node, member, now_ms)) {
+		json_object_set(heartbeat, "list", list);
+		json_object_set_new(heartbeat, "listed",
 		    json_integer((json_int_t)node->members_version));
 	}
-	return beat;
+	return heartbeat;
 }
 
 static uint32_t
@@ -627,28 +644,29 @@
 }
 
 static void
-send_beats(struct node *node, int64_t now_ms)
+send_heartbeats(struct node *node, int64_t now_ms)
 {
-	json_t *beat, *common, *list, *learnt;
+	json_t *heartbeat, *common, *list, *learnt;
 	struct member *member;
 	uint32_t n, rank;
 
-	drop_silent(node, now_ms);
+	remove_silent_members(node, now_ms);
 	n = count_members(node);
-	set_full(node, lead_full_queues(node->lead), now_ms);
-	common = common_beat(node, now_ms, n > 0 ? n - 1 : 0);
-	list = list_members(node);
+	set_full_queues(node, lead_full_queues(node->lead), now_ms);
+	common = heartbeat_common(node, now_ms, n > 0 ? n - 1 : 0);
+	list = encode_member_list(node);
 	learnt = NULL;
-	if (node->heartbeats_sent++ % LEARNT_EVERY == LEARNT_EVERY - 1)
+	if (node->heartbeats_sent++ % LEARNT_EVERY_HEARTBEATS ==
+	    LEARNT_EVERY_HEARTBEATS - 1)
 		learnt = lead_learnt(node->lead);
 	rank = 0;
 	TAILQ_FOREACH (member, &node->members, link) {
-		beat = beat_for(node, member, common, list,
+		heartbeat = heartbeat_for_member(node, member, common, list,
 		    member->leaving ? n : rank, now_ms);
-		if (learnt != NULL && rank < LEARNT_HEIRS)
-			json_object_set(beat, "learnt", learnt);
-		members_send(node, member->id, beat);
-		/* Nobody waits for one that won't lead. */
+		if (learnt != NULL && rank < LEARNT_SUCCESSORS)
+			json_object_set(heartbeat, "learnt", learnt);
+		members_send(node, member->id, heartbeat);
+		/* A leaving member doesn't take a rank in the succession. */
 		if (!member->leaving)
 			rank++;
 	}
@@ -684,15 +702,15 @@
 members_tick(struct node *node, int64_t now_ms)
 {
 	if (node->lead != NULL) {
-		if (now_ms - node->heartbeat_ms < BEAT_MS)
+		if (now_ms - node->heartbeat_ms < HEARTBEAT_MS)
 			return;
 		node->heartbeat_ms = now_ms;
-		send_beats(node, now_ms);
+		send_heartbeats(node, now_ms);
 		return;
 	}
 	if (now_ms - node->hello_ms < HELLO_MS)
 		return;
-	/* A connection that isn't made yet is tried again with each tick. */
+	/* While the connection isn't established, retry on every tick. */
 	if (send_hello(node))
 		node->hello_ms = now_ms;
 }
--- a/entry/relay.c
+++ b/entry/relay.c
@@ -3,71 +3,71 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "relay.h"
 #include "clock.h"
 #include "counter.h"
 #include "log.h"
 #include "node_int.h"
+#include "relay.h"
 #include "route.h"
 
-/* The leader's side of orders that members carry; see carry.h. */
+/* The leader's side of the relay; see relay.h. */
 
-/* A member answers an order within its own timeout for it, and the way. */
-#define ORDER_MS 700
-#define LOOK_SLACK_MS 800
-/* A member is passed over for so long after losing an order. */
-#define REST_MS 2000
-/* A member that greeted longer ago than this carries nothing new. */
-#define FRESH_MS 1200
-/* Greetings come so often: a silent member is looked at again. */
+/* Cover the member's own timeout for the call and the way both ways. */
+#define ORDER_TIMEOUT_MS 700
+#define POLL_TIMEOUT_SLACK_MS 800
+/* A member is not used for this long after it lost an order. */
+#define AVOID_MS 2000
+/* A member whose last hello is older than this gets no new orders. */
+#define HELLO_MAX_AGE_MS 1200
+/* A silent member is checked again at the interval of hello messages. */
 #define SILENT_RETRY_MS 500
-/* What a message of orders has besides them: names, address and term. */
+/* Size of a message without its orders: names, address and term. */
 #define ORDERS_BYTES 50
 
 /*
- * Orders are numbered apart in each term: an entry that leads again would
- * else take a late answer to an order of its former term for one to a new
- * order, of another worker or kind.
+ * The term is in the upper half of an order's number.  An entry that leads
+ * again would otherwise match a late answer from its earlier term to a new
+ * order, for another worker or of another kind.
  */
 #define TERM_SHIFT 32
 
-/* An order on its way. */
-struct carried {
-	RB_ENTRY(carried) by_number;
+/* An order in flight. */
+struct relayed_order {
+	RB_ENTRY(relayed_order) by_number;
 	uint64_t number;
 	char member[ELECT_ID_MAX];
 	char worker[SCHED_WORKER_ID_MAX];
-	int64_t give_up_ms;
+	int64_t expires_ms;
 	worker_done *done;
 	void *ctx;
 };
-RB_HEAD(carried_tree, carried);
+RB_HEAD(relayed_order_tree, relayed_order);
 
 struct order_relay {
 	struct node *node;
-	struct carried_tree orders;
+	struct relayed_order_tree orders;
 	struct routes routes;
-	struct route_member *members; /* that the routes choose from */
-	struct running_lists lists; /* what workers listed last */
-	uint64_t next;
-	bool use;
+	struct route_member *members; /* for the routes to choose from */
+	struct running_lists lists; /* the last of each worker */
+	uint64_t last_number;
+	bool enabled;
 	relay_late_cb *late;
 	void *late_ctx;
 };
 
 static int
-carried_cmp(struct carried *a, struct carried *b)
+relayed_order_cmp(struct relayed_order *a, struct relayed_order *b)
 {
 	if (a->number != b->number)
 		return a->number < b->number ? -1 : 1;
 	return 0;
 }
 
-RB_PROTOTYPE(carried_tree, carried, by_number, carried_cmp)
-RB_GENERATE(carried_tree, carried, by_number, carried_cmp)
+RB_PROTOTYPE(relayed_order_tree, relayed_order, by_number, relayed_order_cmp)
+RB_GENERATE(relayed_order_tree, relayed_order, by_number, relayed_order_cmp)
 
 static bool
-may_carry(const void *data, int64_t now_ms, int64_t *until_ms)
+member_is_usable(const void *data, int64_t now_ms, int64_t *until_ms)
 {
 	const struct member *member;
 
@@ -77,7 +77,8 @@
 		*until_ms = member->avoid_until_ms;
 		return false;
 	}
-	return member->can_relay && now_ms - member->heard_ms <= FRESH_MS;
+	return member->can_relay &&
+	    now_ms - member->heard_ms <= HELLO_MAX_AGE_MS;
 }
 
 struct order_relay *
@@ -90,15 +91,15 @@
 	c->node = node;
 	c->late = late;
 	c->late_ctx = late_ctx;
-	c->next = node->elect.leader.term << TERM_SHIFT;
+	c->last_number = node->elect.leader.term << TERM_SHIFT;
 	RB_INIT(&c->orders);
-	routes_init(&c->routes, may_carry);
+	routes_init(&c->routes, member_is_usable);
 	running_lists_init(&c->lists);
 	relay_update_members(c);
 	return c;
 }
 
-/* Without memory the leader makes its calls itself. */
+/* If out of memory, the leader makes the calls itself. */
 void
 relay_update_members(struct order_relay *c)
 {
@@ -123,16 +124,16 @@
 }
 
 static void
-finish(struct order_relay *c, struct carried *order,
+finish(struct order_relay *c, struct relayed_order *order,
     const struct worker_result *result)
 {
-	RB_REMOVE(carried_tree, &c->orders, order);
+	RB_REMOVE(relayed_order_tree, &c->orders, order);
 	order->done(result, order->ctx);
 	free(order);
 }
 
 static void
-lose(struct order_relay *c, struct carried *order)
+finish_lost(struct order_relay *c, struct relayed_order *order)
 {
 	struct worker_result lost;
 
@@ -142,11 +143,11 @@
 }
 
 /*
- * Orders of this term that weren't sent yet.  Sent with those of a next term
- * of ours they would pass for orders of that term.
+ * Discard unsent orders of this term.  If we lead again, they would be sent as
+ * orders of the later term.
  */
 static void
-drop_gathered(struct order_relay *c)
+discard_unsent(struct order_relay *c)
 {
 	struct member *member;
 
@@ -157,11 +158,11 @@
 void
 relay_close(struct order_relay *c)
 {
-	struct carried *order;
+	struct relayed_order *order;
 
-	drop_gathered(c);
-	while ((order = RB_MIN(carried_tree, &c->orders)) != NULL)
-		lose(c, order);
+	discard_unsent(c);
+	while ((order = RB_MIN(relayed_order_tree, &c->orders)) != NULL)
+		finish_lost(c, order);
 	routes_free(&c->routes);
 	running_lists_free(&c->lists);
 	free(c->members);
@@ -169,47 +170,47 @@
 }
 
 void
-relay_enable(struct order_relay *c, bool use)
+relay_enable(struct order_relay *c, bool enabled)
 {
-	if (c->use != use)
-		log_info("carry", "by_members=%d", (int)use);
-	c->use = use;
+	if (c->enabled != enabled)
+		log_info("carry", "by_members=%d", (int)enabled);
+	c->enabled = enabled;
 }
 
-/* NULL: the leader makes the call itself. */
+/* Returns NULL if the leader is to make the call itself. */
 static struct member *
-pick_member(struct order_relay *c, const struct sched_worker *worker)
+choose_member(struct order_relay *c, const struct sched_worker *worker)
 {
-	if (!c->use)
+	if (!c->enabled)
 		return NULL;
 	return route_choose(
 	    &c->routes, worker->id, worker->data_center, clock_now_ms());
 }
 
-/* Number the order, and give it to the member. */
+/* Number the order and add it to the member's batch. */
 static void
-give(struct order_relay *c, struct member *member, struct relay_order *order,
-    int64_t timeout_ms, worker_done *done, void *ctx)
+enqueue_order(struct order_relay *c, struct member *member,
+    struct relay_order *order, int64_t timeout_ms, worker_done *done, void *ctx)
 {
-	struct carried *carried;
+	struct relayed_order *relayed;
 
-	if ((carried = calloc(1, sizeof(*carried))) == NULL) {
+	if ((relayed = calloc(1, sizeof(*relayed))) == NULL) {
 		log_error("carry", "error=memory");
 		abort();
 	}
-	carried->number = ++c->next;
-	strlcpy(carried->member, member->id, sizeof(carried->member));
-	strlcpy(carried->worker, order->worker, sizeof(carried->worker));
-	carried->give_up_ms = clock_now_ms() + timeout_ms;
-	carried->done = done;
-	carried->ctx = ctx;
-	RB_INSERT(carried_tree, &c->orders, carried);
-	order->number = carried->number;
+	relayed->number = ++c->last_number;
+	strlcpy(relayed->member, member->id, sizeof(relayed->member));
+	strlcpy(relayed->worker, order->worker, sizeof(relayed->worker));
+	relayed->expires_ms = clock_now_ms() + timeout_ms;
+	relayed->done = done;
+	relayed->ctx = ctx;
+	RB_INSERT(relayed_order_tree, &c->orders, relayed);
+	order->number = relayed->number;
 	relay_write_order(&member->orders, order);
 }
 
 static void
-order_of(struct relay_order *order, enum relay_kind kind,
+init_order(struct relay_order *order, enum relay_kind kind,
     const struct sched_worker *worker)
 {
 	memset(order, 0, sizeof(*order));
@@ -219,16 +220,17 @@
 }
 
 static void
-order_of_task(struct relay_order *order, enum relay_kind kind,
+init_task_order(struct relay_order *order, enum relay_kind kind,
     const struct worker_order *from)
 {
-	order_of(order, kind, from->worker);
+	init_order(order, kind, from->worker);
 	order->task = *from->task;
 	order->attempt = from->attempt;
 }
 
 static void
-start(void *self, const struct worker_start *from, worker_done *done, void *ctx)
+start_task(
+    void *self, const struct worker_start *from, worker_done *done, void *ctx)
 {
 	const struct worker_ops *direct;
 	struct relay_order order;
@@ -237,19 +239,20 @@
 
 	c = self;
 	direct = &c->node->opt.workers;
-	if ((member = pick_member(c, from->order.worker)) == NULL) {
+	if ((member = choose_member(c, from->order.worker)) == NULL) {
 		direct->start(direct->self, from, done, ctx);
 		return;
 	}
-	order_of_task(&order, RELAY_START, &from->order);
+	init_task_order(&order, RELAY_START, &from->order);
 	order.payload = from->payload;
 	order.checkpoint = from->checkpoint;
 	order.deadline_ms = from->deadline_ms;
-	give(c, member, &order, ORDER_MS, done, ctx);
+	enqueue_order(c, member, &order, ORDER_TIMEOUT_MS, done, ctx);
 }
 
 static void
-stop(void *self, const struct worker_order *from, worker_done *done, void *ctx)
+stop_task(
+    void *self, const struct worker_order *from, worker_done *done, void *ctx)
 {
 	const struct worker_ops *direct;
 	struct relay_order order;
@@ -258,16 +261,16 @@
 
 	c = self;
 	direct = &c->node->opt.workers;
-	if ((member = pick_member(c, from->worker)) == NULL) {
+	if ((member = choose_member(c, from->worker)) == NULL) {
 		direct->stop(direct->self, from, done, ctx);
 		return;
 	}
-	order_of_task(&order, RELAY_STOP, from);
-	give(c, member, &order, ORDER_MS, done, ctx);
+	init_task_order(&order, RELAY_STOP, from);
+	enqueue_order(c, member, &order, ORDER_TIMEOUT_MS, done, ctx);
 }
 
 static void
-pace(void *self, const struct worker_order *from, int percent,
+pace_task(void *self, const struct worker_order *from, int percent,
     worker_done *done, void *ctx)
 {
 	const struct worker_ops *direct;
@@ -277,17 +280,18 @@
 
 	c = self;
 	direct = &c->node->opt.workers;
-	if ((member = pick_member(c, from->worker)) == NULL) {
+	if ((member = choose_member(c, from->worker)) == NULL) {
 		direct->pace(direct->self, from, percent, done, ctx);
 		return;
 	}
-	order_of_task(&order, RELAY_PACE, from);
+	init_task_order(&order, RELAY_PACE, from);
 	order.percent = percent;
-	give(c, member, &order, ORDER_MS, done, ctx);
+	enqueue_order(c, member, &order, ORDER_TIMEOUT_MS, done, ctx);
 }
 
 static void
-look(void *self, const struct worker_poll *from, worker_done *done, void *ctx)
+poll_worker(
+    void *self, const struct worker_poll *from, worker_done *done, void *ctx)
 {
 	const struct worker_ops *direct;
 	struct relay_order order;
@@ -296,26 +300,27 @@
 
 	c = self;
 	direct = &c->node->opt.workers;
-	if ((member = pick_member(c, from->worker)) == NULL) {
+	if ((member = choose_member(c, from->worker)) == NULL) {
 		direct->poll(direct->self, from, done, ctx);
 		return;
 	}
-	order_of(&order, RELAY_POLL, from->worker);
+	init_order(&order, RELAY_POLL, from->worker);
 	order.acknowledged = from->acknowledged;
 	order.deadline_ms = from->deadline_ms;
 	order.wait_ms = from->wait_ms;
 	order.base = running_list_number(&c->lists, from->worker->id);
-	give(c, member, &order, from->wait_ms + LOOK_SLACK_MS, done, ctx);
+	enqueue_order(c, member, &order, from->wait_ms + POLL_TIMEOUT_SLACK_MS,
+	    done, ctx);
 }
 
 void
 relay_worker_ops(struct order_relay *c, struct worker_ops *ops)
 {
 	ops->self = c;
-	ops->start = start;
-	ops->stop = stop;
-	ops->pace = pace;
-	ops->poll = look;
+	ops->start = start_task;
+	ops->stop = stop_task;
+	ops->pace = pace_task;
+	ops->poll = poll_worker;
 }
 
 void
@@ -330,12 +335,12 @@
 		if (member->orders.n == 0)
 			continue;
 		msgpack_sbuffer_init(&message);
-		/* Not sent: given up on in a moment, as if it were lost. */
+		/* Orders that were not sent expire like unanswered ones. */
 		if (!relay_write_orders(&member->orders, node->id,
 			node->address, node->elect.leader.term, &message) ||
 		    !members_send_bytes(c->node, member->id, "orders",
 			message.data, message.size))
-			member->avoid_until_ms = clock_now_ms() + REST_MS;
+			member->avoid_until_ms = clock_now_ms() + AVOID_MS;
 		msgpack_sbuffer_destroy(&message);
 	}
 }
@@ -358,31 +363,31 @@
 void
 relay_tick(struct order_relay *c, int64_t now_ms)
 {
-	struct carried *order, *next;
+	struct relayed_order *order, *next;
 	struct member *member;
 
 	routes_expire(&c->routes, now_ms);
 	running_lists_expire(&c->lists, now_ms);
-	for (order = RB_MIN(carried_tree, &c->orders); order != NULL;
+	for (order = RB_MIN(relayed_order_tree, &c->orders); order != NULL;
 	     order = next) {
-		next = RB_NEXT(carried_tree, &c->orders, order);
-		if (now_ms < order->give_up_ms)
+		next = RB_NEXT(relayed_order_tree, &c->orders, order);
+		if (now_ms < order->expires_ms)
 			continue;
 		member = member_get(c->node, order->member);
 		if (member != NULL)
-			member->avoid_until_ms = now_ms + REST_MS;
+			member->avoid_until_ms = now_ms + AVOID_MS;
 		counter_reason("lagoonpin_carry_lost", "no_answer");
-		lose(c, order);
+		finish_lost(c, order);
 	}
 }
 
 /*
- * Ends of an answer that is no answer to an order any more.  The worker has
- * told them, so a task that is done there must not be started again once the
- * worker seems to have lapsed.
+ * Report the task ends in an answer that is too late for its order.  The
+ * worker considers them reported, so without this a finished task would be
+ * started again after the worker's lease expires.
  */
 static void
-note_late(struct order_relay *c, const struct relay_answer *answer)
+report_late_ends(struct order_relay *c, const struct relay_answer *answer)
 {
 	if (answer->look == NULL || answer->look->nfinished == 0)
 		return;
@@ -390,9 +395,9 @@
 	c->late(answer->worker, answer->look, c->late_ctx);
 }
 
-/* The member may be the one that can't reach the worker. */
+/* A lost call may mean that this member can't reach the worker. */
 static void
-note_route(struct order_relay *c, const struct carried *order,
+update_route(struct order_relay *c, const struct relayed_order *order,
     enum worker_answer answer)
 {
 	if (answer == ANSWER_LOST || answer == ANSWER_NOT_SENT)
@@ -401,9 +406,9 @@
 		route_call_answered(&c->routes, order->worker);
 }
 
-/* Rows of the answer may be the kept list's until that is replaced. */
+/* Rows of the answer may point into the current list until it is replaced. */
 static void
-keep_list(struct order_relay *c, const struct relay_answer *answer)
+store_list(struct order_relay *c, const struct relay_answer *answer)
 {
 	running_list_put(&c->lists, answer->worker, answer->number,
 	    answer->look->running, answer->look->nrunning, clock_now_ms());
@@ -413,21 +418,21 @@
 on_answer(const struct relay_answer *answer, void *ctx)
 {
 	struct worker_result result;
-	struct carried key, *order;
+	struct relayed_order key, *order;
 	struct order_relay *c;
 
 	c = ctx;
 	key.number = answer->number;
-	if ((order = RB_FIND(carried_tree, &c->orders, &key)) == NULL) {
-		note_late(c, answer);
+	if ((order = RB_FIND(relayed_order_tree, &c->orders, &key)) == NULL) {
+		report_late_ends(c, answer);
 		return;
 	}
-	note_route(c, order, answer->answer);
+	update_route(c, order, answer->answer);
 	if (answer->answer == ANSWER_LOST) {
-		note_late(c, answer);
+		report_late_ends(c, answer);
 		if (answer->worker != NULL)
 			running_list_remove(&c->lists, answer->worker);
-		lose(c, order);
+		finish_lost(c, order);
 		return;
 	}
 	memset(&result, 0, sizeof(result));
@@ -436,11 +441,11 @@
 	result.poll = answer->look;
 	finish(c, order, &result);
 	if (answer->look != NULL)
-		keep_list(c, answer);
+		store_list(c, answer);
 }
 
 static const struct running_list *
-base_of(const char *worker, uint64_t number, void *ctx)
+find_base(const char *worker, uint64_t number, void *ctx)
 {
 	struct order_relay *c;
 
@@ -455,7 +460,7 @@
 
 	memset(&reader, 0, sizeof(reader));
 	reader.answer = on_answer;
-	reader.base = base_of;
+	reader.base = find_base;
 	reader.ctx = c;
 	relay_read(message, len, &reader);
 }
--- a/entry/relay.h
+++ b/entry/relay.h
@@ -5,46 +5,46 @@
 #include "seam.h"
 
 /*
- * Members that make the leader's calls to workers.  A call costs an entry far
- * more processor time than the decision behind it, so in a large fleet the
- * leader hands its orders to the members, many to a message, and gets the
- * answers back the same way.  Members decide nothing: what they send carries
- * the leader's term, and a worker refuses it as it would refuse the leader's
- * own.
+ * Relay of the leader's orders to workers through members.  A call costs an
+ * entry far more processor time than the scheduling decision behind it, so in
+ * a large fleet the leader sends batches of orders to the members, which make
+ * the calls and return the answers in batches.  Members decide nothing: each
+ * call includes the leader's term as its fencing token, and workers reject an
+ * earlier term whoever makes the call.
  */
 
 struct order_relay;
 struct node;
 
-/* Ends that a worker told in an answer to a look that was given up on. */
+/* Task ends reported in an answer to a poll that had already timed out. */
 typedef void relay_late_cb(
     const char *worker, const struct poll_result *, void *ctx);
 
-/* NULL: no memory. */
+/* Returns NULL if out of memory. */
 struct order_relay *relay_open(struct node *, relay_late_cb *, void *ctx);
-/* Calls under way are answered as lost before this returns. */
+/* Calls in flight get ANSWER_LOST before this returns. */
 void relay_close(struct order_relay *);
-/* The workers' table for the leader: by members, or directly. */
+/* Set the callbacks that call workers, through members or directly. */
 void relay_worker_ops(struct order_relay *, struct worker_ops *);
-/* Orders go through members from now on, or not any more. */
-void relay_enable(struct order_relay *, bool use);
-/* Send what was gathered; call it after each act of the scheduler. */
+/* Whether new orders are sent through members. */
+void relay_enable(struct order_relay *, bool enabled);
+/* Send the batched orders.  Call it after each run of the scheduler. */
 void relay_flush(struct order_relay *);
-/* Bytes that the next flush will send; 0: there is nothing to send. */
+/* Bytes that the next flush will send; 0 if there is nothing to send. */
 double relay_pending_bytes(const struct order_relay *);
-/* Give up on what wasn't answered. */
+/* Expire orders that were not answered in time. */
 void relay_tick(struct order_relay *, int64_t now_ms);
-/* The members aren't those of before, or their terms. */
+/* The member list or a property that the routes depend on has changed. */
 void relay_update_members(struct order_relay *);
-/* A member's answers arrived. */
+/* Process a batch of answers from a member. */
 void relay_handle_answers(
     struct order_relay *, const void *message, size_t len);
 
-/* The member's side: orders of a leader arrived. */
+/* On a member: carry out a batch of orders from a leader. */
 void relay_handle_orders(struct node *, const void *message, size_t len);
-/* Send the answers that came since the last call. */
+/* Send the answers received since the last call. */
 void relay_send_answers(struct node *);
-/* Forget those that couldn't be sent. */
+/* Discard the answers that could not be sent, and the running lists. */
 void relay_free_answers(struct node *);
 
 #endif /* RELAY_H */
--- a/entry/relay_member.c
+++ b/entry/relay_member.c
@@ -1,45 +1,47 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "relay.h"
 #include "clock.h"
 #include "log.h"
 #include "node_int.h"
+#include "relay.h"
 
 /*
- * The member's side of carry.h: make a leader's calls, give the answers back.
+ * The member's side of the relay, see relay.h: make the calls that a leader
+ * orders and return the workers' answers.
  */
 
 /*
- * While the connection to the leader is made anew, answers are kept for so
- * long.  A worker that has told of an end counts it as told; if the leader
- * never hears of it, it starts the task again when the worker's lease is over.
+ * Answers are kept for this long while the connection to the leader is being
+ * reestablished.  A worker considers a task end reported once it has answered;
+ * if that answer is lost, the leader starts the task again after the worker's
+ * lease expires.
  */
-#define KEEP_MS 5000
-#define KEPT_RETRY_MS 50
-/* Answers are gathered for so long. */
-#define REPLY_MS 2
+#define UNSENT_KEEP_MS 5000
+#define UNSENT_RETRY_MS 50
+/* Answers are batched for this long. */
+#define BATCH_MS 2
 
-/* Answers for one leader, gathered for a moment. */
+/* A batch of answers for one leader. */
 struct answers {
 	TAILQ_ENTRY(answers) link;
 	char leader[ELECT_ID_MAX];
 	int64_t since_ms;
-	struct relay_writer gathered;
-	msgpack_sbuffer message; /* that couldn't be sent yet; may be empty */
+	struct relay_writer batch;
+	msgpack_sbuffer message; /* encoded but not sent yet; may be empty */
 };
 
-struct carried_call {
+struct relayed_call {
 	struct node *node;
 	char leader[ELECT_ID_MAX];
 	char worker[SCHED_WORKER_ID_MAX];
 	uint64_t number;
-	uint64_t base; /* of a look: the list that the leader has */
-	bool look;
+	uint64_t base; /* of a poll: number of the leader's running list */
+	bool is_poll;
 };
 
 static struct answers *
-answers_for(struct node *node, const char *leader)
+get_batch(struct node *node, const char *leader)
 {
 	struct answers *answers;
 
@@ -52,7 +54,7 @@
 		return NULL;
 	strlcpy(answers->leader, leader, sizeof(answers->leader));
 	answers->since_ms = clock_now_ms();
-	relay_writer_init(&answers->gathered);
+	relay_writer_init(&answers->batch);
 	msgpack_sbuffer_init(&answers->message);
 	TAILQ_INSERT_TAIL(&node->answers, answers, link);
 	return answers;
@@ -62,19 +64,19 @@
 answers_free(struct node *node, struct answers *answers)
 {
 	TAILQ_REMOVE(&node->answers, answers, link);
-	relay_writer_free(&answers->gathered);
+	relay_writer_free(&answers->batch);
 	msgpack_sbuffer_destroy(&answers->message);
 	free(answers);
 }
 
-/* false: the leader can't be reached now. */
+/* Returns false if the leader can't be reached. */
 static bool
 send_answers(struct node *node, struct answers *answers)
 {
 	if (answers->message.size == 0 &&
 	    !relay_write_answers(
-		&answers->gathered, node->id, &answers->message)) {
-		/* The leader gives up on them by itself. */
+		&answers->batch, node->id, &answers->message)) {
+		/* The orders time out at the leader. */
 		log_error("carry", "error=memory");
 		return true;
 	}
@@ -93,8 +95,8 @@
 	     answers = next) {
 		next = TAILQ_NEXT(answers, link);
 		if (!send_answers(node, answers) &&
-		    now_ms - answers->since_ms < KEEP_MS) {
-			node_schedule_reply(node, KEPT_RETRY_MS);
+		    now_ms - answers->since_ms < UNSENT_KEEP_MS) {
+			node_schedule_reply(node, UNSENT_RETRY_MS);
 			continue;
 		}
 		answers_free(node, answers);
@@ -112,9 +114,9 @@
 	running_lists_free(&node->lists);
 }
 
-/* The answer of a look says what changed since the one that is its base. */
+/* The answer to a poll is encoded as a delta to the leader's running list. */
 static void
-write_answer(struct answers *answers, const struct carried_call *call,
+write_answer(struct answers *answers, const struct relayed_call *call,
     const struct worker_result *result)
 {
 	const struct running_list *base;
@@ -125,8 +127,8 @@
 	answer.number = call->number;
 	answer.answer = result->answer;
 	answer.clock_ms = result->clock_ms;
-	if (!call->look || result->poll == NULL) {
-		relay_write_answer(&answers->gathered, &answer, NULL);
+	if (!call->is_poll || result->poll == NULL) {
+		relay_write_answer(&answers->batch, &answer, NULL);
 		return;
 	}
 	lists = &call->node->lists;
@@ -135,7 +137,7 @@
 	base = call->base != 0 ?
 	    running_list_find(lists, call->worker, call->base) :
 	    NULL;
-	relay_write_answer(&answers->gathered, &answer, base);
+	relay_write_answer(&answers->batch, &answer, base);
 	running_list_put(lists, call->worker, call->number,
 	    result->poll->running, result->poll->nrunning, clock_now_ms());
 }
@@ -143,25 +145,25 @@
 static void
 on_called(const struct worker_result *result, void *ctx)
 {
-	struct carried_call *call;
+	struct relayed_call *call;
 	struct answers *answers;
 
 	call = ctx;
 	answers =
-	    call->node->closing ? NULL : answers_for(call->node, call->leader);
+	    call->node->closing ? NULL : get_batch(call->node, call->leader);
 	if (answers != NULL) {
 		write_answer(answers, call, result);
-		node_schedule_reply(call->node, REPLY_MS);
+		node_schedule_reply(call->node, BATCH_MS);
 	}
 	free(call);
 }
 
 static void
 make_call(const struct worker_ops *ops, const struct relay_order *order,
-    const struct worker_order *to, struct carried_call *call)
+    const struct worker_order *to, struct relayed_call *call)
 {
 	struct worker_start start;
-	struct worker_poll look;
+	struct worker_poll poll;
 
 	switch (order->kind) {
 	case RELAY_START:
@@ -178,12 +180,12 @@
 		ops->pace(ops->self, to, order->percent, on_called, call);
 		break;
 	case RELAY_POLL:
-		look.worker = to->worker;
-		look.term = to->term;
-		look.acknowledged = order->acknowledged;
-		look.deadline_ms = order->deadline_ms;
-		look.wait_ms = order->wait_ms;
-		ops->poll(ops->self, &look, on_called, call);
+		poll.worker = to->worker;
+		poll.term = to->term;
+		poll.acknowledged = order->acknowledged;
+		poll.deadline_ms = order->deadline_ms;
+		poll.wait_ms = order->wait_ms;
+		ops->poll(ops->self, &poll, on_called, call);
 		break;
 	}
 }
@@ -193,12 +195,12 @@
     const struct relay_order *order, void *ctx)
 {
 	struct sched_worker worker;
-	struct carried_call *call;
+	struct relayed_call *call;
 	struct worker_order to;
 	struct node *node;
 
 	node = ctx;
-	/* Not called, the leader gives up on it by itself. */
+	/* Without a call the order times out at the leader. */
 	if (peer_connect(node->peer, leader, address) != PEER_OK ||
 	    (call = calloc(1, sizeof(*call))) == NULL)
 		return;
@@ -207,7 +209,7 @@
 	strlcpy(call->worker, order->worker, sizeof(call->worker));
 	call->number = order->number;
 	call->base = order->base;
-	call->look = order->kind == RELAY_POLL;
+	call->is_poll = order->kind == RELAY_POLL;
 	memset(&worker, 0, sizeof(worker));
 	strlcpy(worker.id, order->worker, sizeof(worker.id));
 	strlcpy(worker.address, order->address, sizeof(worker.address));
--- a/entry/relayread.c
+++ b/entry/relayread.c
@@ -5,18 +5,18 @@
 #include "relaywire_int.h"
 #include "wire_int.h"
 
-/* Reading of the messages of carrywire.h, which another entry sent. */
+/* Decoding of relay messages, see relaywire.h.  The input is untrusted. */
 
-struct reading {
+struct decoder {
 	const struct relay_reader *to;
-	char *texts; /* those read so far; each is shorter than its bytes */
+	char *texts; /* NUL-terminated copies of the strings read so far */
 	size_t used;
 	const char *payload; /* of the last start */
 };
 
-/* A text of its own, up to that size. */
+/* Copy a string of at most max bytes. */
 static const char *
-get_text(struct reading *g, struct wire_reader *r, size_t max)
+get_text(struct decoder *d, struct wire_reader *r, size_t max)
 {
 	const msgpack_object *o;
 	char *text;
@@ -28,10 +28,10 @@
 		r->error = WIRE_ERR_FORM;
 		return "";
 	}
-	text = g->texts + g->used;
+	text = d->texts + d->used;
 	memcpy(text, o->via.str.ptr, o->via.str.size);
 	text[o->via.str.size] = '\0';
-	g->used += o->via.str.size + 1;
+	d->used += o->via.str.size + 1;
 	return text;
 }
 
@@ -46,33 +46,33 @@
 }
 
 static void
-get_payload(struct reading *g, struct wire_reader *r, const char **payload)
+get_payload(struct decoder *d, struct wire_reader *r, const char **payload)
 {
 	if (r->left > 0 && r->at->type == MSGPACK_OBJECT_NIL &&
-	    g->payload != NULL)
+	    d->payload != NULL)
 		wire_next(r, MSGPACK_OBJECT_NIL);
 	else
-		g->payload = get_text(g, r, PAYLOAD_MAX);
-	*payload = g->payload;
+		d->payload = get_text(d, r, PAYLOAD_MAX);
+	*payload = d->payload;
 }
 
 static void
-get_order(struct reading *g, struct wire_reader *r, struct relay_order *order)
+get_order(struct decoder *d, struct wire_reader *r, struct relay_order *order)
 {
 	memset(order, 0, sizeof(*order));
 	order->kind = (enum relay_kind)wire_uint(r, RELAY_POLL);
 	order->number = wire_uint(r, UINT64_MAX);
-	order->worker = get_text(g, r, SCHED_WORKER_ID_MAX - 1);
+	order->worker = get_text(d, r, SCHED_WORKER_ID_MAX - 1);
 	order->address =
-	    get_text(g, r, sizeof(((struct sched_worker *)NULL)->address) - 1);
+	    get_text(d, r, sizeof(((struct sched_worker *)NULL)->address) - 1);
 	if (order->kind != RELAY_POLL)
 		get_task(r, &order->task, &order->attempt);
 	if (order->kind == RELAY_START) {
 		order->deadline_ms = (int64_t)wire_uint(r, INT64_MAX);
-		order->checkpoint = get_text(g, r, CHECKPOINT_MAX);
+		order->checkpoint = get_text(d, r, CHECKPOINT_MAX);
 		if (order->checkpoint[0] == '\0')
 			order->checkpoint = NULL;
-		get_payload(g, r, &order->payload);
+		get_payload(d, r, &order->payload);
 	} else if (order->kind == RELAY_PACE)
 		order->percent = (int)wire_uint(r, 100);
 	else if (order->kind == RELAY_POLL) {
@@ -85,7 +85,7 @@
 }
 
 static void
-get_orders(struct reading *g, struct wire_reader *r)
+get_orders(struct decoder *d, struct wire_reader *r)
 {
 	char leader[ELECT_ID_MAX], address[ELECT_ADDRESS_MAX];
 	struct wire_reader list, one;
@@ -98,62 +98,62 @@
 	list = wire_array(r, ITEMS_MAX);
 	while (list.error == WIRE_OK && list.left > 0) {
 		one = wire_array(&list, START_ITEMS);
-		get_order(g, &one, &order);
+		get_order(d, &one, &order);
 		wire_finish(&list, &one);
-		if (list.error == WIRE_OK && g->to->order != NULL)
-			g->to->order(leader, address, term, &order, g->to->ctx);
+		if (list.error == WIRE_OK && d->to->order != NULL)
+			d->to->order(leader, address, term, &order, d->to->ctx);
 	}
 	wire_finish(r, &list);
 }
 
-/* A row that the base has, with what is new of it. */
+/* Read a delta row: index in the base list, and the fields that change. */
 static void
-get_known(struct reading *g, struct wire_reader *r,
+get_delta(struct decoder *d, struct wire_reader *r,
     const struct running_list *base, struct poll_running *row)
 {
-	uint64_t place;
-	bool moved;
+	uint64_t index;
+	bool has_checkpoint;
 
-	moved = r->left == DELTA_CHECKPOINT_ITEMS;
-	place = wire_uint(r, SIZE_MAX);
-	if (base == NULL || place >= base->n) {
+	has_checkpoint = r->left == DELTA_CHECKPOINT_ITEMS;
+	index = wire_uint(r, SIZE_MAX);
+	if (base == NULL || index >= base->n) {
 		r->error = WIRE_ERR_FORM;
 		return;
 	}
-	*row = base->rows[place];
+	*row = base->rows[index];
 	row->percent = (int)wire_uint(r, 100);
 	row->measurement = (int)wire_uint(r, INT32_MAX);
-	if (moved)
-		row->checkpoint = get_text(g, r, CHECKPOINT_MAX);
+	if (has_checkpoint)
+		row->checkpoint = get_text(d, r, CHECKPOINT_MAX);
 }
 
 static void
-get_running(struct reading *g, struct wire_reader *r,
+get_running(struct decoder *d, struct wire_reader *r,
     const struct running_list *base, struct poll_running *row)
 {
 	if (r->left < RUNNING_ITEMS) {
-		get_known(g, r, base, row);
+		get_delta(d, r, base, row);
 		return;
 	}
 	get_task(r, &row->task, &row->attempt);
-	row->checkpoint = get_text(g, r, CHECKPOINT_MAX);
+	row->checkpoint = get_text(d, r, CHECKPOINT_MAX);
 	row->percent = (int)wire_uint(r, 100);
 	row->measurement = (int)wire_uint(r, INT32_MAX);
 }
 
 static void
 get_finished(
-    struct reading *g, struct wire_reader *r, struct poll_finished *row)
+    struct decoder *d, struct wire_reader *r, struct poll_finished *row)
 {
 	row->number = wire_uint(r, UINT64_MAX);
 	get_task(r, &row->task, &row->attempt);
 	row->how = (enum run_end)wire_uint(r, END_ALONE);
-	row->checkpoint = get_text(g, r, CHECKPOINT_MAX);
+	row->checkpoint = get_text(d, r, CHECKPOINT_MAX);
 }
 
-/* The list of running tasks, to be freed; NULL: no memory. */
+/* Returns the running tasks, freed by the caller; NULL if out of memory. */
 static struct poll_running *
-get_all_running(struct reading *g, struct wire_reader *r,
+get_all_running(struct decoder *d, struct wire_reader *r,
     const struct running_list *base, size_t *n)
 {
 	struct poll_running *rows;
@@ -163,7 +163,7 @@
 	rows = calloc(list.left + 1, sizeof(*rows));
 	while (rows != NULL && list.error == WIRE_OK && list.left > 0) {
 		one = wire_array(&list, RUNNING_ITEMS);
-		get_running(g, &one, base, &rows[(*n)++]);
+		get_running(d, &one, base, &rows[(*n)++]);
 		wire_finish(&list, &one);
 	}
 	wire_finish(r, &list);
@@ -171,7 +171,7 @@
 }
 
 static struct poll_finished *
-get_all_finished(struct reading *g, struct wire_reader *r, size_t *n)
+get_all_finished(struct decoder *d, struct wire_reader *r, size_t *n)
 {
 	struct poll_finished *rows;
 	struct wire_reader list, one;
@@ -180,7 +180,7 @@
 	rows = calloc(list.left + 1, sizeof(*rows));
 	while (rows != NULL && list.error == WIRE_OK && list.left > 0) {
 		one = wire_array(&list, FINISHED_ITEMS);
-		get_finished(g, &one, &rows[(*n)++]);
+		get_finished(d, &one, &rows[(*n)++]);
 		wire_finish(&list, &one);
 	}
 	wire_finish(r, &list);
@@ -188,74 +188,75 @@
 }
 
 /*
- * The running tasks of an answer.  Without its base they aren't known, and no
- * list may be made up: tasks that run would be taken for gone.  So the answer
- * counts as lost, but for the ends, which stay true.
+ * Read the running tasks of an answer.  Without the base list they can't be
+ * decoded, and an incomplete list would make running tasks look stopped.  The
+ * answer then becomes ANSWER_LOST and only its finished tasks are used, which
+ * don't depend on the base.
  */
 static struct poll_running *
-get_running_or_lose(struct reading *g, struct wire_reader *r,
+get_running_or_lost(struct decoder *d, struct wire_reader *r,
     struct relay_answer *answer, size_t *n)
 {
 	const struct running_list *base;
 
 	base = NULL;
 	answer->base = wire_uint(r, UINT64_MAX);
-	if (answer->base != 0 && g->to->base != NULL)
-		base = g->to->base(answer->worker, answer->base, g->to->ctx);
+	if (answer->base != 0 && d->to->base != NULL)
+		base = d->to->base(answer->worker, answer->base, d->to->ctx);
 	if (answer->base == 0 || base != NULL)
-		return get_all_running(g, r, base, n);
+		return get_all_running(d, r, base, n);
 	wire_next(r, MSGPACK_OBJECT_ARRAY);
 	answer->answer = ANSWER_LOST;
 	return calloc(1, sizeof(struct poll_running));
 }
 
 static void
-get_look_answer(
-    struct reading *g, struct wire_reader *r, struct relay_answer *answer)
+get_poll_answer(
+    struct decoder *d, struct wire_reader *r, struct relay_answer *answer)
 {
 	struct poll_finished *finished;
 	struct poll_running *running;
-	struct poll_result look;
+	struct poll_result poll;
 
-	memset(&look, 0, sizeof(look));
-	look.clock_ms = answer->clock_ms;
-	answer->worker = get_text(g, r, SCHED_WORKER_ID_MAX - 1);
-	running = get_running_or_lose(g, r, answer, &look.nrunning);
-	finished = get_all_finished(g, r, &look.nfinished);
+	memset(&poll, 0, sizeof(poll));
+	poll.clock_ms = answer->clock_ms;
+	answer->worker = get_text(d, r, SCHED_WORKER_ID_MAX - 1);
+	running = get_running_or_lost(d, r, answer, &poll.nrunning);
+	finished = get_all_finished(d, r, &poll.nfinished);
 	if (running == NULL || finished == NULL)
 		r->error = WIRE_ERR_MEMORY;
-	look.running = running;
-	look.finished = finished;
-	answer->look = &look;
-	if (r->error == WIRE_OK && g->to->answer != NULL)
-		g->to->answer(answer, g->to->ctx);
+	poll.running = running;
+	poll.finished = finished;
+	answer->look = &poll;
+	if (r->error == WIRE_OK && d->to->answer != NULL)
+		d->to->answer(answer, d->to->ctx);
 	answer->look = NULL;
 	free(running);
 	free(finished);
 }
 
 static void
-get_answer(struct reading *g, struct wire_reader *r)
+get_answer(struct decoder *d, struct wire_reader *r)
 {
 	struct relay_answer answer;
-	bool look;
+	bool is_poll;
 
-	look = r->left > ANSWER_ITEMS;
+	is_poll = r->left > ANSWER_ITEMS;
 	memset(&answer, 0, sizeof(answer));
 	answer.number = wire_uint(r, UINT64_MAX);
 	answer.answer = (enum worker_answer)wire_uint(r, ANSWER_REFUSED);
 	answer.clock_ms = (int64_t)wire_uint(r, INT64_MAX);
 	if (r->error != WIRE_OK)
 		return;
-	if (look)
-		get_look_answer(g, r, &answer);
-	else if (g->to->answer != NULL)
-		g->to->answer(&answer, g->to->ctx);
+	if (is_poll)
+		get_poll_answer(d, r, &answer);
+	else if (d->to->answer != NULL)
+		d->to->answer(&answer, d->to->ctx);
 }
 
-/* One damaged answer says nothing about the others. */
+/* A malformed answer is counted and skipped; the others are processed. */
 static void
-get_answers(struct reading *g, struct wire_reader *r)
+get_answers(struct decoder *d, struct wire_reader *r)
 {
 	struct wire_reader list, one;
 	char member[ELECT_ID_MAX];
@@ -266,7 +267,7 @@
 		one = wire_array(&list, POLL_ANSWER_ITEMS);
 		if (list.error != WIRE_OK)
 			break;
-		get_answer(g, &one);
+		get_answer(d, &one);
 		if (one.error != WIRE_OK || one.left > 0)
 			wire_refused("answer");
 	}
@@ -276,10 +277,10 @@
 static void
 get_message(struct wire_reader *r, void *out)
 {
-	struct reading *g;
+	struct decoder *d;
 	uint64_t version, type;
 
-	g = out;
+	d = out;
 	version = wire_uint(r, UINT64_MAX);
 	if (r->error == WIRE_OK && version != RELAY_VERSION) {
 		r->error = WIRE_ERR_VERSION;
@@ -289,9 +290,9 @@
 	if (r->error != WIRE_OK)
 		return;
 	if (type == RELAY_ORDERS)
-		get_orders(g, r);
+		get_orders(d, r);
 	else if (type == RELAY_ANSWERS)
-		get_answers(g, r);
+		get_answers(d, r);
 	else
 		r->error = WIRE_ERR_TYPE;
 }
@@ -300,19 +301,22 @@
 relay_read(const void *data, size_t len, const struct relay_reader *to)
 {
 	enum wire_error error;
-	struct reading g;
-
-	memset(&g, 0, sizeof(g));
-	g.to = to;
-	/* Each text has a byte or more before it, in place of the NUL. */
-	if ((g.texts = malloc(len + 1)) == NULL)
+	struct decoder d;
+
+	memset(&d, 0, sizeof(d));
+	d.to = to;
+	/*
+	 * Each encoded string has a header of at least one byte, so its copy
+	 * with a NUL needs no more space than its encoding.
+	 */
+	if ((d.texts = malloc(len + 1)) == NULL)
 		return false;
-	error = wire_decode_body(data, len, get_message, &g);
-	free(g.texts);
+	error = wire_decode_body(data, len, get_message, &d);
+	free(d.texts);
 	return error == WIRE_OK;
 }
 
-/* A short array of msgpack begins with this and its number of items. */
+/* First byte of a msgpack array of up to 15 items; its low bits: the number. */
 #define SHORT_ARRAY 0x90
 
 bool
--- a/entry/relaywire.c
+++ b/entry/relaywire.c
@@ -5,7 +5,7 @@
 #include "relaywire_int.h"
 #include "wire_int.h"
 
-/* Writing of the messages; reading is in carryread.c. */
+/* Encoding of relay messages, see relaywire.h; decoding is in relayread.c. */
 
 void
 relay_writer_init(struct relay_writer *w)
@@ -32,8 +32,6 @@
 	w->payload = NULL;
 }
 
-/* Writing. */
-
 static void
 put_task(msgpack_packer *pk, const struct task_name *task, uint32_t attempt)
 {
@@ -50,7 +48,10 @@
 	msgpack_pack_uint64(pk, number > 0 ? (uint64_t)number : 0);
 }
 
-/* Tasks of a step follow each other: their payload is written once. */
+/*
+ * The tasks of a step are started one after another and share a payload, which
+ * is written once.
+ */
 static void
 put_payload(struct relay_writer *w, msgpack_packer *pk, const char *payload)
 {
@@ -64,7 +65,7 @@
 }
 
 static size_t
-items_of(enum relay_kind kind)
+item_count(enum relay_kind kind)
 {
 	switch (kind) {
 	case RELAY_START:
@@ -85,7 +86,7 @@
 	msgpack_packer pk;
 
 	msgpack_packer_init(&pk, &w->items, msgpack_sbuffer_write);
-	msgpack_pack_array(&pk, items_of(order->kind));
+	msgpack_pack_array(&pk, item_count(order->kind));
 	msgpack_pack_int(&pk, (int)order->kind);
 	msgpack_pack_uint64(&pk, order->number);
 	wire_put_str(&pk, order->worker);
@@ -108,7 +109,7 @@
 	w->n++;
 }
 
-/* The array of what was gathered; false: some of it found no memory. */
+/* Write the batch as an array; returns false if out of memory. */
 static bool
 put_items(struct relay_writer *w, msgpack_packer *pk, msgpack_sbuffer *out)
 {
@@ -148,9 +149,12 @@
 	    strcmp(a->task.job, b->task.job) == 0;
 }
 
-/* The row's place in the base; its n: it is new.  They keep their order. */
+/*
+ * Returns the row's index in the base list, base->n if it isn't there.  Workers
+ * keep the order of their list, so the expected index is tried first.
+ */
 static size_t
-place_of(const struct running_list *base, const struct poll_running *row,
+find_row(const struct running_list *base, const struct poll_running *row,
     size_t expected)
 {
 	size_t i;
@@ -165,17 +169,18 @@
 }
 
 static void
-put_known(msgpack_packer *pk, const struct poll_running *row,
-    const struct poll_running *before, size_t place)
+put_delta(msgpack_packer *pk, const struct poll_running *row,
+    const struct poll_running *old, size_t index)
 {
-	bool moved;
+	bool has_checkpoint;
 
-	moved = strcmp(row->checkpoint, before->checkpoint) != 0;
-	msgpack_pack_array(pk, moved ? DELTA_CHECKPOINT_ITEMS : DELTA_ITEMS);
-	msgpack_pack_uint64(pk, place);
+	has_checkpoint = strcmp(row->checkpoint, old->checkpoint) != 0;
+	msgpack_pack_array(
+	    pk, has_checkpoint ? DELTA_CHECKPOINT_ITEMS : DELTA_ITEMS);
+	msgpack_pack_uint64(pk, index);
 	put_number(pk, row->percent);
 	put_number(pk, row->measurement);
-	if (moved)
+	if (has_checkpoint)
 		wire_put_str(pk, row->checkpoint);
 }
 
@@ -190,22 +195,22 @@
 }
 
 static void
-put_all_running(msgpack_packer *pk, const struct poll_result *look,
+put_all_running(msgpack_packer *pk, const struct poll_result *poll,
     const struct running_list *base)
 {
-	size_t i, place;
+	size_t i, index;
 
-	msgpack_pack_array(pk, look->nrunning);
-	place = 0;
-	for (i = 0; i < look->nrunning; i++) {
+	msgpack_pack_array(pk, poll->nrunning);
+	index = 0;
+	for (i = 0; i < poll->nrunning; i++) {
 		if (base != NULL)
-			place = place_of(base, &look->running[i], place);
-		if (base == NULL || place == base->n)
-			put_running(pk, &look->running[i]);
+			index = find_row(base, &poll->running[i], index);
+		if (base == NULL || index == base->n)
+			put_running(pk, &poll->running[i]);
 		else {
-			put_known(
-			    pk, &look->running[i], &base->rows[place], place);
-			place++;
+			put_delta(
+			    pk, &poll->running[i], &base->rows[index], index);
+			index++;
 		}
 	}
 }
@@ -224,26 +229,26 @@
 relay_write_answer(struct relay_writer *w, const struct relay_answer *answer,
     const struct running_list *base)
 {
-	const struct poll_result *look;
+	const struct poll_result *poll;
 	msgpack_packer pk;
 	size_t i;
 
-	look = answer->look;
+	poll = answer->look;
 	msgpack_packer_init(&pk, &w->items, msgpack_sbuffer_write);
 	msgpack_pack_array(
-	    &pk, look != NULL ? POLL_ANSWER_ITEMS : ANSWER_ITEMS);
+	    &pk, poll != NULL ? POLL_ANSWER_ITEMS : ANSWER_ITEMS);
 	msgpack_pack_uint64(&pk, answer->number);
 	msgpack_pack_int(&pk, (int)answer->answer);
 	put_number(&pk, answer->clock_ms);
 	w->n++;
-	if (look == NULL)
+	if (poll == NULL)
 		return;
 	wire_put_str(&pk, answer->worker);
 	msgpack_pack_uint64(&pk, base != NULL ? base->number : 0);
-	put_all_running(&pk, look, base);
-	msgpack_pack_array(&pk, look->nfinished);
-	for (i = 0; i < look->nfinished; i++)
-		put_finished(&pk, &look->finished[i]);
+	put_all_running(&pk, poll, base);
+	msgpack_pack_array(&pk, poll->nfinished);
+	for (i = 0; i < poll->nfinished; i++)
+		put_finished(&pk, &poll->finished[i]);
 }
 
 bool
--- a/entry/running_list.c
+++ b/entry/running_list.c
@@ -3,17 +3,20 @@
 
 #include "running_list.h"
 
-/* Workers are asked each second; one asked less often is another's by now. */
-#define KEEP_MS 10000
+/*
+ * Workers are polled each second.  One not polled for this long is polled by
+ * another member now.
+ */
+#define EXPIRE_MS 10000
 
 static int
-kept_cmp(struct running_list *a, struct running_list *b)
+running_list_cmp(struct running_list *a, struct running_list *b)
 {
 	return strcmp(a->worker, b->worker);
 }
 
-RB_PROTOTYPE(running_lists, running_list, by_worker, kept_cmp)
-RB_GENERATE(running_lists, running_list, by_worker, kept_cmp)
+RB_PROTOTYPE(running_lists, running_list, by_worker, running_list_cmp)
+RB_GENERATE(running_lists, running_list, by_worker, running_list_cmp)
 
 void
 running_lists_init(struct running_lists *lists)
@@ -40,7 +43,7 @@
 }
 
 static struct running_list *
-list_of(struct running_lists *lists, const char *worker)
+find_list(struct running_lists *lists, const char *worker)
 {
 	struct running_list key;
 
@@ -54,7 +57,7 @@
 {
 	const struct running_list *list;
 
-	list = list_of(lists, worker);
+	list = find_list(lists, worker);
 	return list != NULL && list->number == number ? list : NULL;
 }
 
@@ -63,7 +66,7 @@
 {
 	const struct running_list *list;
 
-	list = list_of(lists, worker);
+	list = find_list(lists, worker);
 	return list != NULL ? list->number : 0;
 }
 
@@ -72,11 +75,11 @@
 {
 	struct running_list *list;
 
-	if ((list = list_of(lists, worker)) != NULL)
+	if ((list = find_list(lists, worker)) != NULL)
 		list_free(lists, list);
 }
 
-/* The rows with checkpoints of their own; false: no memory. */
+/* Copy the rows and their checkpoints; returns false if out of memory. */
 static bool
 copy_rows(struct running_list *list, const struct poll_running *rows, size_t n)
 {
@@ -106,22 +109,25 @@
 running_list_put(struct running_lists *lists, const char *worker,
     uint64_t number, const struct poll_running *rows, size_t n, int64_t now_ms)
 {
-	struct running_list *list, *before;
+	struct running_list *list, *old;
 
-	/* The rows may be partly those of the list that is kept until now. */
+	/*
+	 * The rows may point to checkpoints in the current list, so copy them
+	 * before freeing it.
+	 */
 	if ((list = calloc(1, sizeof(*list))) == NULL)
 		return;
 	strlcpy(list->worker, worker, sizeof(list->worker));
 	list->number = number;
-	list->used_ms = now_ms;
+	list->updated_ms = now_ms;
 	if (!copy_rows(list, rows, n)) {
 		free(list->rows);
 		free(list->texts);
 		free(list);
 		list = NULL;
 	}
-	if ((before = list_of(lists, worker)) != NULL)
-		list_free(lists, before);
+	if ((old = find_list(lists, worker)) != NULL)
+		list_free(lists, old);
 	if (list != NULL)
 		RB_INSERT(running_lists, lists, list);
 }
@@ -133,7 +139,7 @@
 
 	for (list = RB_MIN(running_lists, lists); list != NULL; list = next) {
 		next = RB_NEXT(running_lists, lists, list);
-		if (now_ms - list->used_ms >= KEEP_MS)
+		if (now_ms - list->updated_ms >= EXPIRE_MS)
 			list_free(lists, list);
 	}
 }
