--- a/lagoonpind/borrow.c
+++ b/lagoonpind/borrow.c
@@ -75,7 +75,8 @@
 	struct lend_demand *d;
 
 	d = demand_of(lend, service, CREDIT_CALL);
-	return d == NULL || now_ms - d->told_ms > WAITING_MS ? 0 : d->waiting;
+	return d == NULL || now_ms - d->reported_ms > WAITING_MS ? 0 :
+								   d->waiting;
 }
 
 static struct lending_load
@@ -83,7 +84,7 @@
 {
 	struct lending_load load;
 
-	load = lending_load_of(e->lend->book, serves, service, e);
+	load = lending_load_of(e->lend->table, serves, service, e);
 	load.needed =
 	    lending_needed(load.needed, waiting_for(e->lend, service, now_ms));
 	return load;
@@ -161,9 +162,9 @@
 
 	if (d->asked_ms != 0 && now_ms - d->asked_ms < ANSWER_MS)
 		return true;
-	if (now_ms < d->look_ms)
+	if (now_ms < d->next_ask_ms)
 		return false;
-	d->look_ms = now_ms + LOOK_MS;
+	d->next_ask_ms = now_ms + LOOK_MS;
 	memset(&want, 0, sizeof(want));
 	strlcpy(want.service, d->service, sizeof(want.service));
 	if (d->kind == CREDIT_CALL) {
@@ -201,7 +202,7 @@
 	if (waiting <= 0 || d == NULL)
 		return false;
 	d->waiting = waiting;
-	d->told_ms = now_ms;
+	d->reported_ms = now_ms;
 	return ask(e, d, now_ms);
 }
 
@@ -215,7 +216,7 @@
 	int waiting;
 
 	memset(&load, 0, sizeof(load));
-	for (row = credit_first(e->lend->book); row != NULL;
+	for (row = credit_first(e->lend->table); row != NULL;
 	     row = credit_next(row)) {
 		if (row->leaving)
 			continue;
@@ -258,7 +259,7 @@
 	amount = want->amount;
 	if (amount.slots == 0)
 		return amount;
-	load = lending_load_of(e->lend->book, serves, want->service, e);
+	load = lending_load_of(e->lend->table, serves, want->service, e);
 	spare = load.held - load.needed;
 	load.needed = lending_needed(
 	    load.needed, waiting_for(e->lend, want->service, now_ms));
@@ -302,9 +303,9 @@
 	request.wanted = offer_for(e, &want, now_ms);
 	out.count = 0;
 	if (e->phase == ENTRY_RUNNING && request.wanted.connections > 0)
-		out.count = lending_grant(e->lend->book, serves, e, &request,
-		    e->lend->turn, out.items, WIRE_TRANSFERS_MAX);
-	e->lend->turn += (unsigned int)out.count;
+		out.count = lending_grant(e->lend->table, serves, e, &request,
+		    e->lend->rotation, out.items, WIRE_TRANSFERS_MAX);
+	e->lend->rotation += (unsigned int)out.count;
 	if (out.count == 0)
 		counter_reason("lagoonpin_lend_refused", "nothing_spare");
 	else
@@ -314,7 +315,7 @@
 	if (borrow_send(e, header->from, WIRE_CREDITS, &out))
 		return;
 	for (i = 0; i < out.count; i++)
-		credit_give_cancel(e->lend->book, header->from, &out.items[i]);
+		credit_give_cancel(e->lend->table, header->from, &out.items[i]);
 }
 
 /* An answer; if calls still wait here, ask the next peer. */
@@ -340,8 +341,8 @@
 			    in->items[k].amount.connections;
 		if (d->waiting < 0)
 			d->waiting = 0;
-		if (d->waiting > 0 && now_ms - d->told_ms <= WAITING_MS) {
-			d->look_ms = 0;
+		if (d->waiting > 0 && now_ms - d->reported_ms <= WAITING_MS) {
+			d->next_ask_ms = 0;
 			ask(e, d, now_ms);
 		}
 	}
@@ -364,7 +365,7 @@
 	origin.sequence = header->sequence;
 	origin.to_incarnation = header->to_incarnation;
 	error =
-	    credit_receive(e->lend->book, &origin, in.items, in.count, &stale);
+	    credit_receive(e->lend->table, &origin, in.items, in.count, &stale);
 	if (error != CREDIT_OK) {
 		counter_reason(
 		    "lagoonpin_lend_refused", credit_strerror(error));
--- a/lagoonpind/call_answer.c
+++ b/lagoonpind/call_answer.c
@@ -175,7 +175,7 @@
 	struct outcome_answer a;
 
 	/* The answer has begun: it can only be ended or cut. */
-	if (c->begun && c->request != NULL) {
+	if (c->head_sent && c->request != NULL) {
 		call_watch_close(c);
 		return;
 	}
--- a/lagoonpind/call_choose.c
+++ b/lagoonpind/call_choose.c
@@ -19,8 +19,8 @@
 		return -1;
 	for (i = 0; i < ep->nmembers; i++) {
 		if (ep->members[i].service == c->service &&
-		    ep->members[i].at[c->lane] != CALL_NOWHERE)
-			return (int)ep->members[i].at[c->lane];
+		    ep->members[i].candidate_index[c->lane] != CALL_NOWHERE)
+			return (int)ep->members[i].candidate_index[c->lane];
 	}
 	return -1;
 }
--- a/lagoonpind/call_claim.c
+++ b/lagoonpind/call_claim.c
@@ -51,10 +51,10 @@
 		.ops = &c->callers->claim_ops,
 	};
 
-	c->waiting = a;
+	c->claim_attempt = a;
 	if (claim_start(&c->claim, &o, clock_now_ms()) == 0)
 		return;
-	c->waiting = NULL;
+	c->claim_attempt = NULL;
 	attempt_end(a, OUTCOME_ATTEMPT_NOT_SENT);
 	call_refuse(c, OUTCOME_BAD_REQUEST_ID, 0);
 }
@@ -72,8 +72,8 @@
 	if (c->claim_op != NULL)
 		c->claim_op->call = NULL;
 	c->claim_op = NULL;
-	if ((a = c->waiting) != NULL) {
-		c->waiting = NULL;
+	if ((a = c->claim_attempt) != NULL) {
+		c->claim_attempt = NULL;
 		attempt_end(a, OUTCOME_ATTEMPT_NOT_SENT);
 	}
 }
@@ -144,8 +144,8 @@
 
 	(void)ctx;
 	call = call_of(c);
-	a = call->waiting;
-	call->waiting = NULL;
+	a = call->claim_attempt;
+	call->claim_attempt = NULL;
 	/* The claim was free: no earlier sending of the id has run. */
 	call->facts.repeated = false;
 	call_dispatch(call, a);
@@ -171,9 +171,9 @@
 	if (why == CLAIM_REFUSED_DUPLICATE)
 		recent_ids_add(cs->recent_ids, call->id, clock_now_ms());
 	explain_attempt(
-	    call, call->waiting, outcome_reason_name(reasons[why]), 0);
-	attempt_end(call->waiting, OUTCOME_ATTEMPT_NOT_SENT);
-	call->waiting = NULL;
+	    call, call->claim_attempt, outcome_reason_name(reasons[why]), 0);
+	attempt_end(call->claim_attempt, OUTCOME_ATTEMPT_NOT_SENT);
+	call->claim_attempt = NULL;
 	/* The answer to the one that holds the claim may be here by now. */
 	if (why == CLAIM_REFUSED_DUPLICATE &&
 	    response_cache_get(cs->responses, call->id, call->hash,
--- a/lagoonpind/call_collect.c
+++ b/lagoonpind/call_collect.c
@@ -118,7 +118,7 @@
 		    a, OUTCOME_ATTEMPT_UNKNOWN, OUTCOME_ANSWER_MISMATCH);
 	else if (r->error == HTTPC_OK && a->call->answered)
 		late_answer(a, r);
-	else if (r->error == HTTPC_OK && a->call->begun)
+	else if (r->error == HTTPC_OK && a->call->head_sent)
 		call_collect_failed(
 		    a, OUTCOME_ATTEMPT_UNKNOWN, OUTCOME_ANSWER_CUT);
 	else if (r->error == HTTPC_OK)
--- a/lagoonpind/call_credit.c
+++ b/lagoonpind/call_credit.c
@@ -51,8 +51,8 @@
 	struct call_service *s;
 
 	s = m->service;
-	s->lanes[lane].capacity += credits - m->counted[lane];
-	m->counted[lane] = credits;
+	s->lanes[lane].capacity += credits - m->counted_credits[lane];
+	m->counted_credits[lane] = credits;
 	admit_set_capacity(
 	    s->lanes[lane].admit, s->lanes[lane].capacity, s->nendpoints > 0);
 }
@@ -66,7 +66,7 @@
 	size_t size;
 
 	s = m->service;
-	if (m->at[lane] != NOWHERE)
+	if (m->candidate_index[lane] != NOWHERE)
 		return;
 	if (s->lanes[lane].ncandidates == s->lanes[lane].size) {
 		size = s->lanes[lane].size * 2;
@@ -79,7 +79,7 @@
 		s->lanes[lane].candidates = grown;
 		s->lanes[lane].size = size;
 	}
-	m->at[lane] = s->lanes[lane].ncandidates;
+	m->candidate_index[lane] = s->lanes[lane].ncandidates;
 	s->lanes[lane].candidates[s->lanes[lane].ncandidates++] = &el->ce;
 }
 
@@ -91,10 +91,10 @@
 	size_t at, i, last;
 
 	s = m->service;
-	at = m->at[lane];
+	at = m->candidate_index[lane];
 	if (at == NOWHERE)
 		return;
-	m->at[lane] = NOWHERE;
+	m->candidate_index[lane] = NOWHERE;
 	last = --s->lanes[lane].ncandidates;
 	if (at == last)
 		return;
@@ -102,7 +102,7 @@
 	s->lanes[lane].candidates[at] = &moved->ce;
 	for (i = 0; i < moved->endpoint->nmembers; i++) {
 		if (moved->endpoint->members[i].service == s)
-			moved->endpoint->members[i].at[lane] = at;
+			moved->endpoint->members[i].candidate_index[lane] = at;
 	}
 }
 
--- a/lagoonpind/call_dispatch.c
+++ b/lagoonpind/call_dispatch.c
@@ -95,7 +95,7 @@
 	request.ctx = a;
 	a->sent_ns = uv_hrtime();
 	outcome_sent(&c->facts);
-	if (c->own_id)
+	if (c->has_client_id)
 		recent_ids_add(c->callers->recent_ids, c->id, now_ms);
 	call_hedge_arm(c, now_ms);
 	call_collect_start(a, &request);
--- a/lagoonpind/call_endpoint.c
+++ b/lagoonpind/call_endpoint.c
@@ -100,7 +100,7 @@
 		m = &ep->members[ep->nmembers++];
 		m->service = s;
 		for (lane = 0; lane < NLANES; lane++)
-			m->at[lane] = CALL_NOWHERE;
+			m->candidate_index[lane] = CALL_NOWHERE;
 	}
 }
 
--- a/lagoonpind/call_read.c
+++ b/lagoonpind/call_read.c
@@ -57,7 +57,8 @@
 	LIST_INIT(&c->attempts);
 	detail = "";
 	reason = read_all(c, r, &detail);
-	if (c->own_id && recent_ids_has(cs->recent_ids, c->id, c->arrived_ms))
+	if (c->has_client_id &&
+	    recent_ids_has(cs->recent_ids, c->id, c->arrived_ms))
 		c->facts.repeated = true;
 	if (reason != OUTCOME_COMPLETE) {
 		call_refuse_request(cs, r, c->id, &c->facts, reason, detail);
@@ -199,8 +200,8 @@
 	if (reason != OUTCOME_COMPLETE)
 		return reason;
 	if (httpd_request_header(r, "lagoonpin-request-id") != NULL) {
-		c->own_id = id_ok(c->id);
-		if (c->own_id)
+		c->has_client_id = id_ok(c->id);
+		if (c->has_client_id)
 			return OUTCOME_COMPLETE;
 		c->id[0] = '\0';
 		return OUTCOME_BAD_REQUEST_ID;
--- a/lagoonpind/call_watch.c
+++ b/lagoonpind/call_watch.c
@@ -30,16 +30,17 @@
 	struct call *c;
 
 	c = a->call;
-	if (c->begun && status != STATUS_OK)
+	if (c->head_sent && status != STATUS_OK)
 		return;
 	a->streaming = true;
 	admit_finish(&c->item, false, clock_now_ms());
 	choose_answered(&a->endpoint->lanes[a->lane].ce);
-	if (c->begun)
+	if (c->head_sent)
 		return;
-	c->begun = true;
-	c->line_end = true;
-	c->lines = strncmp(type, CALL_LINES_TYPE, strlen(CALL_LINES_TYPE)) == 0;
+	c->head_sent = true;
+	c->at_line_end = true;
+	c->is_ndjson =
+	    strncmp(type, CALL_LINES_TYPE, strlen(CALL_LINES_TYPE)) == 0;
 	call_answer_begin(c, status, type);
 }
 
@@ -52,8 +53,8 @@
 	if (!a->streaming || c->answered || len == 0)
 		return;
 	httpd_send(c->request, data, len);
-	c->line_end = data[len - 1] == '\n';
-	if (a->leaving && c->line_end)
+	c->at_line_end = data[len - 1] == '\n';
+	if (a->draining && c->at_line_end)
 		leave(a);
 }
 
@@ -95,8 +96,8 @@
 		next = LIST_NEXT(a, endpoint_link);
 		if (!a->streaming || a->call->answered)
 			continue;
-		a->leaving = true;
-		if (a->call->line_end || !a->call->lines)
+		a->draining = true;
+		if (a->call->at_line_end || !a->call->is_ndjson)
 			leave(a);
 	}
 }
@@ -107,7 +108,7 @@
 	struct call *c;
 
 	c = a->call;
-	if (c->lines && c->idempotent && !c->callers->draining)
+	if (c->is_ndjson && c->idempotent && !c->callers->draining)
 		move(a);
 	else
 		call_watch_close(c);
@@ -157,7 +158,7 @@
 
 	stream = stream_of(c);
 	admit_cancel(&c->item);
-	if (c->lines && c->line_end) {
+	if (c->is_ndjson && c->at_line_end) {
 		counter_inc("lagoonpin_watches_reopened", "");
 		httpd_send(
 		    c->request, CALL_REOPEN_LINE, strlen(CALL_REOPEN_LINE));
--- a/lagoonpind/callers.c
+++ b/lagoonpind/callers.c
@@ -203,7 +203,7 @@
 void
 callers_due(struct callers *cs)
 {
-	cs->dirty = true;
+	cs->pass_pending = true;
 }
 
 static void
@@ -224,9 +224,9 @@
 {
 	int64_t now_ms;
 
-	if (!cs->dirty)
+	if (!cs->pass_pending)
 		return;
-	cs->dirty = false;
+	cs->pass_pending = false;
 	now_ms = clock_now_ms();
 	admit_expire(cs->admit, now_ms);
 	admit_run(cs->admit, now_ms);
@@ -265,7 +265,7 @@
 
 	cs = timer->data;
 	cs->timer_ms = -1;
-	cs->dirty = true;
+	cs->pass_pending = true;
 	run_pass(cs);
 }
 
@@ -299,9 +299,9 @@
 	const struct member *m;
 	int entries;
 
-	if (cs->entry->mesh == NULL || now_ms < cs->share_ms)
+	if (cs->entry->mesh == NULL || now_ms < cs->next_share_ms)
 		return;
-	cs->share_ms = now_ms + SHARE_EVERY_MS;
+	cs->next_share_ms = now_ms + SHARE_EVERY_MS;
 	entries = 1;
 	for (m = member_first(mesh_members(cs->entry)); m != NULL;
 	     m = member_next(m)) {
@@ -327,7 +327,7 @@
 	end_watches(cs, now_ms);
 	share_quotas(cs, now_ms);
 	set_gauges(cs);
-	cs->dirty = true;
+	cs->pass_pending = true;
 	run_pass(cs);
 }
 
--- a/lagoonpind/callers.h
+++ b/lagoonpind/callers.h
@@ -67,8 +67,8 @@
 /* An endpoint's place in the list of candidates of a service. */
 struct endpoint_member {
 	struct call_service *service;
-	size_t at[NLANES]; /* or CALL_NOWHERE */
-	int64_t counted[NLANES]; /* credits entered in its capacity */
+	size_t candidate_index[NLANES]; /* or CALL_NOWHERE */
+	int64_t counted_credits[NLANES]; /* credits entered in its capacity */
 	bool is_live; /* entered in its number of endpoints */
 };
 
@@ -126,7 +126,7 @@
 	uint64_t sent_ns;
 	enum choose_reason why; /* of the choice */
 	bool streaming; /* a watch whose answer has begun */
-	bool leaving; /* to be moved or ended at the end of a line */
+	bool draining; /* to be moved or ended at the end of a line */
 	bool moved; /* cancelled to be sent elsewhere */
 	char number_text[12];
 };
@@ -142,10 +142,10 @@
 	char id[CALL_ID_MAX];
 	char type[CALL_TYPE_MAX]; /* content-type of the body */
 	bool idempotent;
-	bool own_id; /* the caller's, not made up here */
-	bool begun; /* a watch: the caller has the head of the answer */
-	bool lines; /* its answer is of CALL_LINES_TYPE */
-	bool line_end; /* the last byte passed on ended a line */
+	bool has_client_id; /* the caller's, not made up here */
+	bool head_sent; /* a watch: the caller has the head of the answer */
+	bool is_ndjson; /* its answer is of CALL_LINES_TYPE */
+	bool at_line_end; /* the last byte passed on ended a line */
 	bool answered; /* only attempts or a claim are left */
 	const char *body; /* held by the request */
 	size_t body_len;
@@ -164,7 +164,7 @@
 	int tries; /* attempts since the watch was moved last */
 	struct endpoint *avoid; /* where the last attempt failed; may be gone */
 	struct attempt_list attempts;
-	struct attempt *waiting; /* waits for the claim */
+	struct attempt *claim_attempt; /* waits for the claim */
 	struct claim claim;
 	struct claim_op *claim_op; /* with the store */
 	int64_t claim_revision; /* of our record; 0: not known */
@@ -187,7 +187,7 @@
 	struct call_list calls;
 	struct explain_ring *explains;
 	int data_center; /* this entry's, as choose() compares them */
-	int64_t share_ms; /* when the entries are counted next */
+	int64_t next_share_ms; /* when the entries are counted next */
 	int64_t conf_revision; /* whose records are applied */
 	uint64_t sequence; /* of made-up ids and claims */
 	size_t ncalls;
@@ -197,7 +197,7 @@
 	struct counter *queued;
 	struct counter *running;
 	uint64_t random;
-	bool dirty; /* a pass is due */
+	bool pass_pending; /* a pass is due */
 	bool draining;
 	uv_prepare_t prepare;
 	uv_check_t check;
--- a/lagoonpind/claim_answer.c
+++ b/lagoonpind/claim_answer.c
@@ -61,7 +61,7 @@
 	switch (error) {
 	case STORE_OK:
 		s->failures = 0;
-		s->away_until_ms = 0;
+		s->unavailable_until_ms = 0;
 		return;
 	case STORE_ERR_BUDGET:
 	case STORE_ERR_NO_LEASE:
@@ -75,7 +75,7 @@
 		break;
 	}
 	if (s->failures >= AWAY_FAILURES)
-		s->away_until_ms = clock_now_ms() + CLAIM_AWAY_MS;
+		s->unavailable_until_ms = clock_now_ms() + CLAIM_AWAY_MS;
 }
 
 void
@@ -89,8 +89,8 @@
 	q = ctx;
 	/* What the ops lead to may start the next group. */
 	TAILQ_INIT(&ended);
-	note_result(q->cs, r->error);
-	TAILQ_CONCAT(&ended, &q->flying, link);
+	note_result(q->store, r->error);
+	TAILQ_CONCAT(&ended, &q->in_flight, link);
 	for (i = 0; (op = TAILQ_FIRST(&ended)) != NULL; i++) {
 		TAILQ_REMOVE(&ended, op, link);
 		if (r->error != STORE_OK)
@@ -98,7 +98,7 @@
 		else
 			apply(q, op, r, i);
 	}
-	callers_due(q->cs->entry->callers);
+	callers_due(q->store->entry->callers);
 }
 
 static void
@@ -185,7 +185,7 @@
 
 	applied = error == STORE_ERR_UNKNOWN || error == STORE_ERR_RUBBISH;
 	if (error == STORE_ERR_NO_LEASE)
-		q->cs->lease = 0;
+		q->store->lease = 0;
 	/* Over the budget nothing was sent: the next group takes it. */
 	if (error == STORE_ERR_BUDGET || error == STORE_ERR_NO_LEASE) {
 		claim_requeue(q, op);
--- a/lagoonpind/claim_store.c
+++ b/lagoonpind/claim_store.c
@@ -49,10 +49,10 @@
 		return NULL;
 	s->entry = e;
 	for (i = 0; i < NQUEUES; i++) {
-		s->queues[i].cs = s;
+		s->queues[i].store = s;
 		s->queues[i].kind = (enum queue_kind)i;
 		TAILQ_INIT(&s->queues[i].waiting);
-		TAILQ_INIT(&s->queues[i].flying);
+		TAILQ_INIT(&s->queues[i].in_flight);
 	}
 	return s;
 }
@@ -78,10 +78,10 @@
 	int i;
 
 	for (i = 0; i < NQUEUES; i++) {
-		if (!TAILQ_EMPTY(&s->queues[i].flying))
+		if (!TAILQ_EMPTY(&s->queues[i].in_flight))
 			return true;
 	}
-	return s->granting;
+	return s->lease_pending;
 }
 
 bool
@@ -90,10 +90,10 @@
 	int i;
 
 	for (i = 0; i < NQUEUES; i++) {
-		if (!TAILQ_EMPTY(&s->queues[i].flying))
+		if (!TAILQ_EMPTY(&s->queues[i].in_flight))
 			return false;
 		if (s->queues[i].nwaiting > 0 &&
-		    clock_now_ms() >= s->away_until_ms)
+		    clock_now_ms() >= s->unavailable_until_ms)
 			return false;
 	}
 	return true;
@@ -157,7 +157,7 @@
 {
 	const struct claim_op *op;
 
-	TAILQ_FOREACH (op, &q->flying, link) {
+	TAILQ_FOREACH (op, &q->in_flight, link) {
 		if (strcmp(op->key, key) == 0)
 			return true;
 	}
@@ -180,7 +180,7 @@
 		next = TAILQ_NEXT(op, link);
 		if (is_flying(q, op->key) ||
 		    (q->kind == QUEUE_SETTLE &&
-			is_flying(&q->cs->queues[QUEUE_WRITE], op->key)))
+			is_flying(&q->store->queues[QUEUE_WRITE], op->key)))
 			continue;
 		TAILQ_REMOVE(&q->waiting, op, link);
 		q->nwaiting--;
@@ -188,7 +188,7 @@
 			claim_op_free(op);
 			continue;
 		}
-		TAILQ_INSERT_TAIL(&q->flying, op, link);
+		TAILQ_INSERT_TAIL(&q->in_flight, op, link);
 		group[n++] = op;
 	}
 	return n;
@@ -211,7 +211,7 @@
 		puts[i].key = group[i]->key;
 		puts[i].value = group[i]->value;
 		puts[i].len = strlen(group[i]->value);
-		puts[i].lease = q->cs->lease;
+		puts[i].lease = q->store->lease;
 		gets[i].kind = STORE_GET;
 		gets[i].key = group[i]->key;
 	}
@@ -225,7 +225,7 @@
 		txn.failure = gets;
 		txn.nfailure = n;
 	}
-	return store_txn(q->cs->entry->store, &txn, claim_group_answered, q);
+	return store_txn(q->store->entry->store, &txn, claim_group_answered, q);
 }
 
 static void
@@ -244,8 +244,8 @@
 		counter_inc("lagoonpin_claim_groups", "");
 		return;
 	}
-	while ((op = TAILQ_FIRST(&q->flying)) != NULL) {
-		TAILQ_REMOVE(&q->flying, op, link);
+	while ((op = TAILQ_FIRST(&q->in_flight)) != NULL) {
+		TAILQ_REMOVE(&q->in_flight, op, link);
 		claim_failed(q, op, error);
 	}
 }
@@ -276,15 +276,16 @@
 
 	if (s->entry->phase == ENTRY_CLOSING)
 		return;
-	if (now_ms < s->away_until_ms)
+	if (now_ms < s->unavailable_until_ms)
 		fail_waiting(s);
 	for (i = 0; i < NQUEUES; i++) {
 		q = &s->queues[i];
-		if (q->nwaiting == 0 || !TAILQ_EMPTY(&q->flying) ||
+		if (q->nwaiting == 0 || !TAILQ_EMPTY(&q->in_flight) ||
 		    now_ms - q->last_ms < every_ms[i])
 			continue;
 		if (i != QUEUE_READ &&
-		    (now_ms < s->away_until_ms || !have_lease(s, now_ms)))
+		    (now_ms < s->unavailable_until_ms ||
+			!have_lease(s, now_ms)))
 			continue;
 		send_group(q, now_ms);
 	}
@@ -297,11 +298,11 @@
 static bool
 have_lease(struct claim_store *s, int64_t now_ms)
 {
-	if (!s->granting &&
+	if (!s->lease_pending &&
 	    (s->lease == 0 || now_ms - s->lease_asked_ms >= LEASE_RENEW_MS)) {
 		s->grant_asked_ms = now_ms;
-		s->granting = store_lease_grant(s->entry->store, LEASE_TTL_S,
-				  on_lease, s) == STORE_OK;
+		s->lease_pending = store_lease_grant(s->entry->store,
+				       LEASE_TTL_S, on_lease, s) == STORE_OK;
 	}
 	return s->lease != 0 && now_ms - s->lease_asked_ms < LEASE_USE_MAX_MS;
 }
@@ -312,14 +313,14 @@
 	struct claim_store *s;
 
 	s = ctx;
-	s->granting = false;
+	s->lease_pending = false;
 	if (s->entry->phase == ENTRY_CLOSING)
 		return;
 	if (r->error == STORE_OK) {
 		s->lease = r->lease;
 		s->lease_asked_ms = s->grant_asked_ms;
 	} else if (r->error != STORE_ERR_BUDGET && s->lease == 0) {
-		s->away_until_ms = clock_now_ms() + CLAIM_AWAY_MS;
+		s->unavailable_until_ms = clock_now_ms() + CLAIM_AWAY_MS;
 	}
 	callers_due(s->entry->callers);
 }
--- a/lagoonpind/claim_store.h
+++ b/lagoonpind/claim_store.h
@@ -29,10 +29,10 @@
 TAILQ_HEAD(claim_op_list, claim_op);
 
 struct claim_queue {
-	struct claim_store *cs;
+	struct claim_store *store;
 	enum queue_kind kind;
 	struct claim_op_list waiting;
-	struct claim_op_list flying; /* in the order of the transaction */
+	struct claim_op_list in_flight; /* in the order of the transaction */
 	size_t nwaiting;
 	int64_t last_ms;
 };
@@ -43,8 +43,8 @@
 	int64_t lease;
 	int64_t lease_asked_ms; /* of the lease held */
 	int64_t grant_asked_ms;
-	bool granting;
-	int64_t away_until_ms;
+	bool lease_pending;
+	int64_t unavailable_until_ms;
 	int failures; /* in a row */
 };
 
--- a/lagoonpind/lend.c
+++ b/lagoonpind/lend.c
@@ -26,10 +26,10 @@
 static void lend_close(struct entry *);
 static void on_spare(const struct credit_worker *, void *);
 static bool is_dead(const char *, uint64_t, void *);
-static int missing_long(struct lend *, struct raise *, int64_t);
+static int missing_long(struct lend *, struct shard_recovery *, int64_t);
 static void recover_shard(struct entry *, struct fleet_shard *, int64_t);
 static void recover_lost(struct entry *, int64_t);
-static struct raise *raise_of(struct lend *, const char *);
+static struct shard_recovery *recovery_of(struct lend *, const char *);
 
 const struct part lend_part = {
 	.name = "lend",
@@ -54,10 +54,10 @@
 	options.on_spare = on_spare;
 	options.ctx = lend;
 	lend->rng = gsl_rng_alloc(gsl_rng_taus2);
-	lend->book = credit_open(&options);
-	if (lend->rng == NULL || lend->book == NULL) {
+	lend->table = credit_open(&options);
+	if (lend->rng == NULL || lend->table == NULL) {
 		gsl_rng_free(lend->rng);
-		credit_close(lend->book);
+		credit_close(lend->table);
 		free(lend);
 		return -1;
 	}
@@ -72,13 +72,14 @@
 static void
 lend_close(struct entry *e)
 {
-	struct raise *raise, *next;
+	struct shard_recovery *recovery, *next;
 
-	credit_close(e->lend->book);
+	credit_close(e->lend->table);
 	gsl_rng_free(e->lend->rng);
-	for (raise = e->lend->raises; raise != NULL; raise = next) {
-		next = raise->next;
-		free(raise);
+	for (recovery = e->lend->recoveries; recovery != NULL;
+	     recovery = next) {
+		next = recovery->next;
+		free(recovery);
 	}
 	free(e->lend);
 	e->lend = NULL;
@@ -99,9 +100,9 @@
 	(void)change;
 	if (vm->info.kind != VM_WORKER)
 		return;
-	credit_leaving(e->lend->book, vm->info.id, vm->info.state != VM_LIVE);
+	credit_leaving(e->lend->table, vm->info.id, vm->info.state != VM_LIVE);
 	if (vm->info.state == VM_GONE)
-		credit_forget(e->lend->book, vm->info.id);
+		credit_forget(e->lend->table, vm->info.id);
 }
 
 static void
@@ -110,16 +111,17 @@
 	struct lend *lend = e->lend;
 
 	owners_tell_abandoned(e);
-	if (now_ms - lend->idle_ms >= IDLE_MS || e->phase != ENTRY_RUNNING) {
-		lend->idle_ms = now_ms;
+	if (now_ms - lend->returned_ms >= IDLE_MS ||
+	    e->phase != ENTRY_RUNNING) {
+		lend->returned_ms = now_ms;
 		owners_return(e);
 	}
-	if (now_ms - lend->state_ms >= STATE_MS) {
-		lend->state_ms = now_ms;
+	if (now_ms - lend->holdings_sent_ms >= STATE_MS) {
+		lend->holdings_sent_ms = now_ms;
 		owners_state_held(e);
 	}
-	if (now_ms - lend->lost_ms >= LOST_MS) {
-		lend->lost_ms = now_ms;
+	if (now_ms - lend->recovered_ms >= LOST_MS) {
+		lend->recovered_ms = now_ms;
 		recover_lost(e, now_ms);
 	}
 }
@@ -140,18 +142,18 @@
 	capacity.slots = vm->info.slots;
 	capacity.connections = vm->info.connections;
 	error = credit_issue(
-	    e->lend->book, worker, vm->shard->name, epoch, capacity, used);
+	    e->lend->table, worker, vm->shard->name, epoch, capacity, used);
 	if (error != CREDIT_OK)
 		counter_reason(
 		    "lagoonpin_lend_refused", credit_strerror(error));
-	credit_leaving(e->lend->book, worker, vm->info.state != VM_LIVE);
+	credit_leaving(e->lend->table, worker, vm->info.state != VM_LIVE);
 }
 
 void
 lend_report(struct entry *e, const char *worker, uint64_t epoch,
     const struct credit_usage *usage)
 {
-	credit_report(e->lend->book, worker, epoch, usage);
+	credit_report(e->lend->table, worker, epoch, usage);
 }
 
 void
@@ -171,7 +173,7 @@
 const struct credit_worker *
 lend_first(struct entry *e)
 {
-	return credit_first(e->lend->book);
+	return credit_first(e->lend->table);
 }
 
 const struct credit_worker *
@@ -183,14 +185,14 @@
 struct credit_amount
 lend_spare(const struct entry *e)
 {
-	return credit_spare(e->lend->book);
+	return credit_spare(e->lend->table);
 }
 
 enum credit_error
 lend_take(
     struct entry *e, const char *worker, enum credit_kind kind, uint64_t *epoch)
 {
-	return credit_take(e->lend->book, worker, kind, epoch);
+	return credit_take(e->lend->table, worker, kind, epoch);
 }
 
 void
@@ -200,13 +202,13 @@
 	const struct credit_worker *row;
 	enum credit_error error;
 
-	row = credit_find(e->lend->book, worker);
+	row = credit_find(e->lend->table, worker);
 	if (end == CREDIT_ABANDONED && row != NULL && row->epoch == epoch) {
 		counter_reason("lagoonpin_lend_lost", "abandoned");
 		if (!row->issued)
 			owners_abandoned(e->lend, row, kind);
 	}
-	error = credit_release(e->lend->book, worker, epoch, kind, end);
+	error = credit_release(e->lend->table, worker, epoch, kind, end);
 	if (error != CREDIT_OK)
 		counter_reason(
 		    "lagoonpin_lend_refused", credit_strerror(error));
@@ -216,7 +218,7 @@
 lend_fenced(struct entry *e, const char *worker, uint64_t epoch)
 {
 	counter_reason("lagoonpin_lend_lost", "fenced");
-	credit_fenced(e->lend->book, worker, epoch + 1);
+	credit_fenced(e->lend->table, worker, epoch + 1);
 }
 
 static bool
@@ -231,22 +233,23 @@
 	return state == MEMBER_DEAD || state == MEMBER_LEFT;
 }
 
-static struct raise *
-raise_of(struct lend *lend, const char *shard)
+static struct shard_recovery *
+recovery_of(struct lend *lend, const char *shard)
 {
-	struct raise *raise;
+	struct shard_recovery *recovery;
 
-	for (raise = lend->raises; raise != NULL; raise = raise->next) {
-		if (strcmp(raise->shard, shard) == 0)
-			return raise;
+	for (recovery = lend->recoveries; recovery != NULL;
+	     recovery = recovery->next) {
+		if (strcmp(recovery->shard, shard) == 0)
+			return recovery;
 	}
-	if ((raise = calloc(1, sizeof(*raise))) == NULL)
+	if ((recovery = calloc(1, sizeof(*recovery))) == NULL)
 		return NULL;
-	strlcpy(raise->shard, shard, sizeof(raise->shard));
-	raise->raised_ms = -RAISE_MS;
-	raise->next = lend->raises;
-	lend->raises = raise;
-	return raise;
+	strlcpy(recovery->shard, shard, sizeof(recovery->shard));
+	recovery->raised_ms = -RAISE_MS;
+	recovery->next = lend->recoveries;
+	lend->recoveries = recovery;
+	return recovery;
 }
 
 /*
@@ -254,20 +257,20 @@
  * statements come and go, lost ones stay.
  */
 static int
-missing_long(struct lend *lend, struct raise *raise, int64_t now_ms)
+missing_long(struct lend *lend, struct shard_recovery *recovery, int64_t now_ms)
 {
-	int missing;
+	int unaccounted;
 
-	missing =
-	    credit_unaccounted(lend->book, raise->shard, now_ms, STATED_MAX_MS);
-	if (raise->looks == 0 || missing < raise->missing)
-		raise->missing = missing;
-	if (++raise->looks < MISSING_LOOKS)
+	unaccounted = credit_unaccounted(
+	    lend->table, recovery->shard, now_ms, STATED_MAX_MS);
+	if (recovery->samples == 0 || unaccounted < recovery->unaccounted)
+		recovery->unaccounted = unaccounted;
+	if (++recovery->samples < MISSING_LOOKS)
 		return 0;
-	raise->looks = 0;
-	if (raise->missing > 0)
+	recovery->samples = 0;
+	if (recovery->unaccounted > 0)
 		counter_reason("lagoonpin_lend_lost", "missing");
-	return raise->missing;
+	return recovery->unaccounted;
 }
 
 /*
@@ -278,21 +281,21 @@
 recover_shard(struct entry *e, struct fleet_shard *shard, int64_t now_ms)
 {
 	struct lend *lend = e->lend;
-	struct raise *raise;
+	struct shard_recovery *recovery;
 	struct vm *vm;
 	int lost, slots;
 
-	if ((raise = raise_of(lend, shard->name)) == NULL)
+	if ((recovery = recovery_of(lend, shard->name)) == NULL)
 		return;
-	lost = credit_lost(lend->book, shard->name) +
-	    missing_long(lend, raise, now_ms);
+	lost = credit_lost(lend->table, shard->name) +
+	    missing_long(lend, recovery, now_ms);
 	slots = 0;
 	TAILQ_FOREACH (vm, &shard->workers, shard_link)
 		slots += vm->info.slots;
 	if (lost == 0 || lost * LOST_SHARE < slots || lend->on_lost == NULL ||
-	    now_ms - raise->raised_ms < RAISE_MS)
+	    now_ms - recovery->raised_ms < RAISE_MS)
 		return;
-	raise->raised_ms = now_ms;
+	recovery->raised_ms = now_ms;
 	log_info("credits_lost", "shard=%s slots=%d", shard->name, lost);
 	lend->on_lost(e, shard->name, lost, lend->on_lost_ctx);
 }
@@ -302,7 +305,7 @@
 {
 	struct fleet_shard *shard;
 
-	if (credit_expire_peers(e->lend->book, is_dead, e) > 0)
+	if (credit_expire_peers(e->lend->table, is_dead, e) > 0)
 		counter_reason("lagoonpin_lend_lost", "peer_dead");
 	TAILQ_FOREACH (shard, fleet_racks(e->fleet), link)
 		recover_shard(e, shard, now_ms);
--- a/lagoonpind/lend.h
+++ b/lagoonpind/lend.h
@@ -12,12 +12,12 @@
  */
 
 /* An owned shard's lost credits, and when its epoch was raised for them. */
-struct raise {
-	struct raise *next;
+struct shard_recovery {
+	struct shard_recovery *next;
 	char shard[CREDIT_ID_MAX];
 	int64_t raised_ms;
-	int looks; /* for missing slots, in the window that is open */
-	int missing; /* the least that was missing in it */
+	int samples; /* for missing slots, in the window that is open */
+	int unaccounted; /* the least that was missing in it */
 };
 
 #define LEND_DEMANDS_MAX 16
@@ -27,28 +27,28 @@
 	char service[CREDIT_ID_MAX];
 	enum credit_kind kind;
 	int waiting;
-	int64_t told_ms; /* when the callers' side said so */
+	int64_t reported_ms; /* when the callers' side said so */
 	int64_t asked_ms; /* when a peer was asked; 0: no request is open */
-	int64_t look_ms; /* not to look for a peer before */
+	int64_t next_ask_ms; /* not to look for a peer before */
 };
 
 struct lend {
 	struct entry *entry;
-	struct credit_table *book;
+	struct credit_table *table;
 	struct lending_rate wants;
 	gsl_rng *rng;
 	struct lend_demand demands[LEND_DEMANDS_MAX];
 	size_t ndemands;
 	struct wire_transfers abandoned; /* to be told to their owners */
-	struct raise *raises;
+	struct shard_recovery *recoveries;
 	lend_changed *on_change;
 	void *on_change_ctx;
 	lend_lost *on_lost;
 	void *on_lost_ctx;
-	unsigned int turn;
-	int64_t idle_ms;
-	int64_t lost_ms;
-	int64_t state_ms;
+	unsigned int rotation;
+	int64_t returned_ms;
+	int64_t recovered_ms;
+	int64_t holdings_sent_ms;
 };
 
 /* borrow.c: handles the peers' messages, and owners.c's. */
--- a/lagoonpind/owners.c
+++ b/lagoonpind/owners.c
@@ -85,7 +85,7 @@
 	if (wire_decode_transfers(payload, len, &transfers) != WIRE_OK)
 		return;
 	for (i = 0; i < transfers.count; i++)
-		credit_abandoned(e->lend->book, header->from,
+		credit_abandoned(e->lend->table, header->from,
 		    transfers.items[i].worker, transfers.items[i].epoch,
 		    transfers.items[i].amount);
 }
@@ -127,7 +127,7 @@
 	const struct credit_worker *row;
 
 	all.count = 0;
-	for (row = credit_first(e->lend->book); row != NULL;
+	for (row = credit_first(e->lend->table); row != NULL;
 	     row = credit_next(row))
 		state_row(&all, row);
 	send_by_owner(e, WIRE_HELD, &all);
@@ -144,7 +144,7 @@
 	if (wire_decode_transfers(payload, len, &in) != WIRE_OK)
 		return;
 	for (i = 0; i < in.count; i++)
-		credit_set_holding(e->lend->book, header->from,
+		credit_set_holding(e->lend->table, header->from,
 		    in.items[i].shard, in.items[i].epoch,
 		    in.items[i].amount.slots, clock_now_ms());
 }
@@ -165,14 +165,14 @@
 	back = row->spare;
 	if (e->phase == ENTRY_RUNNING)
 		back = lending_return(
-		    idle, row->spare, credit_spare(e->lend->book));
+		    idle, row->spare, credit_spare(e->lend->table));
 	if (back.connections == 0 ||
 	    member_evaluate(mesh_members(e), row->owner, 0, clock_now_ms())
 		    .state != MEMBER_ALIVE)
 		return;
 	owner.peer = row->owner;
 	owner.incarnation = member->record.incarnation;
-	if (credit_give(e->lend->book, row->worker, &owner, back,
+	if (credit_give(e->lend->table, row->worker, &owner, back,
 		&transfers.items[0]) != CREDIT_OK)
 		return;
 	transfers.service[0] = '\0';
@@ -181,11 +181,11 @@
 		counter_reason("lagoonpin_lend_granted", "returned");
 	else
 		credit_give_cancel(
-		    e->lend->book, member->record.id, &transfers.items[0]);
+		    e->lend->table, member->record.id, &transfers.items[0]);
 }
 
 void
 owners_return(struct entry *e)
 {
-	credit_idle(e->lend->book, give_back, e);
+	credit_idle(e->lend->table, give_back, e);
 }
