--- a/lagoonpind/batch.c
+++ b/lagoonpind/batch.c
@@ -202,7 +202,7 @@
 static void
 note_owned(struct batch_shard *s)
 {
-	s->told = true;
+	s->announced = true;
 	log_info("shard_owned", "shard=%s epoch=%llu tasks=%zu", s->name,
 	    (unsigned long long)s->ledger->epoch, s->ledger->ntasks);
 	member_own_shard(
@@ -221,7 +221,7 @@
 	    s->ledger, store_reachable(e->store, now_ms));
 	if (!s->lost)
 		ledger_step(s->ledger, now_ms);
-	if (!s->told && s->ledger->phase == LEDGER_OWNED)
+	if (!s->announced && s->ledger->phase == LEDGER_OWNED)
 		note_owned(s);
 	if (s->lost)
 		own_drop(s, now_ms);
--- a/lagoonpind/batch.h
+++ b/lagoonpind/batch.h
@@ -39,7 +39,8 @@
 	TAILQ_ENTRY(inbox_entry) link;
 	char *key;
 	int64_t revision;
-	int64_t taken; /* the revision that a write of ours takes over */
+	int64_t accepted_revision; /* the revision that a write of ours takes
+				      over */
 	bool listed; /* in the load being applied */
 	struct inbox_item item;
 };
@@ -53,7 +54,7 @@
 	struct batch *batch;
 	char name[LEDGER_SHARD_MAX];
 	struct ledger *ledger; /* NULL: not ours */
-	bool told; /* peers know that it is ours */
+	bool announced; /* peers know that it is ours */
 	bool lost; /* the ledger is to be closed */
 	enum ledger_lost lost_reason;
 	bool reading; /* the record, to see whether to take it */
@@ -220,7 +221,7 @@
 void renew_worker(struct ledger *, struct ledger_worker *, void *ctx);
 
 /* task_evict.c */
-/* The calls of a service there, told with each measurement of it. */
+/* The calls of a service there, announced with each measurement of it. */
 void evict_calls(struct batch_worker *, const char *name, int64_t calls);
 /* A late measurement of a service arrived. */
 void evict_measure(struct batch_shard *, struct ledger_worker *,
--- a/lagoonpind/task_inbox.c
+++ b/lagoonpind/task_inbox.c
@@ -428,11 +428,11 @@
 	TAILQ_FOREACH (entry, &s->items, link) {
 		if (n >= ITEMS_PER_WRITE)
 			break;
-		if (entry->taken == entry->revision)
+		if (entry->accepted_revision == entry->revision)
 			continue;
 		if (!take_entry(s, entry, now_ms))
 			continue;
-		entry->taken = entry->revision;
+		entry->accepted_revision = entry->revision;
 		n++;
 	}
 }
--- a/lagoonpind/task_own.c
+++ b/lagoonpind/task_own.c
@@ -297,7 +297,7 @@
 		return;
 	s->ledger->data = s;
 	s->lost = false;
-	s->told = false;
+	s->announced = false;
 	if (load_ledger(s, doc) == -1) {
 		ledger_close(s->ledger);
 		s->ledger = NULL;
