--- a/lagoonpind/lagoonpind.h
+++ b/lagoonpind/lagoonpind.h
@@ -102,7 +102,7 @@
 };
 
 /* One vertical slice of the daemon.  Every member but name may be NULL. */
-struct part {
+struct module {
 	const char *name;
 	/* -1: the cause has been logged; the program ends. */
 	int (*open)(struct entry *);
@@ -124,19 +124,19 @@
 	void (*close)(struct entry *);
 };
 
-extern const struct part vms_part;
-extern const struct part conf_watch_part;
-extern const struct part batch_part;
-extern const struct part mesh_part;
-extern const struct part lend_part;
-extern const struct part callers_part;
-extern const struct part operators_part;
+extern const struct module vms_part;
+extern const struct module conf_watch_part;
+extern const struct module batch_part;
+extern const struct module mesh_part;
+extern const struct module lend_part;
+extern const struct module callers_part;
+extern const struct module operators_part;
 
 /* options.c: exits on a bad setting. */
 void options_parse(struct options *, int argc, char **argv);
 
 /* parts.c: the parts in the order in which they are opened. */
-extern const struct part *const parts[];
+extern const struct module *const modules[];
 extern const size_t nparts;
 
 /*
--- a/lagoonpind/lend.c
+++ b/lagoonpind/lend.c
@@ -31,7 +31,7 @@
 static void recover_lost(struct entry *, int64_t);
 static struct shard_recovery *recovery_of(struct lend *, const char *);
 
-const struct part lend_part = {
+const struct module lend_part = {
 	.name = "lend",
 	.open = lend_open,
 	.tick = lend_tick,
--- a/lagoonpind/main.c
+++ b/lagoonpind/main.c
@@ -113,8 +113,8 @@
 	size_t i;
 
 	for (i = 0; i < nparts; i++) {
-		if (parts[i]->open != NULL && parts[i]->open(e) == -1)
-			errx(1, "%s: can't be opened", parts[i]->name);
+		if (modules[i]->open != NULL && modules[i]->open(e) == -1)
+			errx(1, "%s: can't be opened", modules[i]->name);
 	}
 }
 
@@ -160,8 +160,8 @@
 	e = timer->data;
 	now_ms = clock_now_ms();
 	for (i = 0; i < nparts; i++) {
-		if (parts[i]->tick != NULL)
-			parts[i]->tick(e, now_ms);
+		if (modules[i]->tick != NULL)
+			modules[i]->tick(e, now_ms);
 	}
 	if (e->phase == ENTRY_DRAINING)
 		check_drained(e, now_ms);
@@ -198,8 +198,8 @@
 	e->drain_since_ms = now_ms;
 	log_info("draining", "drain_ms=%lld", (long long)e->opt.drain_ms);
 	for (i = nparts; i > 0; i--) {
-		if (parts[i - 1]->drain != NULL)
-			parts[i - 1]->drain(e, now_ms);
+		if (modules[i - 1]->drain != NULL)
+			modules[i - 1]->drain(e, now_ms);
 	}
 }
 
@@ -209,12 +209,12 @@
 	size_t i;
 
 	for (i = 0; i < nparts; i++) {
-		if (parts[i]->drained == NULL || parts[i]->drained(e))
+		if (modules[i]->drained == NULL || modules[i]->drained(e))
 			continue;
 		if (now_ms - e->drain_since_ms < e->opt.drain_ms)
 			return;
-		log_warn("drain_timeout", "part=%s", parts[i]->name);
-		counter_reason("lagoonpin_drain_timeouts", parts[i]->name);
+		log_warn("drain_timeout", "part=%s", modules[i]->name);
+		counter_reason("lagoonpin_drain_timeouts", modules[i]->name);
 	}
 	log_info(
 	    "drained", "took_ms=%lld", (long long)(now_ms - e->drain_since_ms));
@@ -232,8 +232,8 @@
 	uv_close((uv_handle_t *)&e->on_int, NULL);
 	httpd_close(e->httpd);
 	for (i = nparts; i > 0; i--) {
-		if (parts[i - 1]->close != NULL)
-			parts[i - 1]->close(e);
+		if (modules[i - 1]->close != NULL)
+			modules[i - 1]->close(e);
 	}
 	store_close(e->store);
 	httpc_close(e->endpoint_http);
@@ -253,7 +253,7 @@
 		return;
 	}
 	for (i = 0; i < nparts; i++) {
-		if (parts[i]->http != NULL && parts[i]->http(e, r))
+		if (modules[i]->http != NULL && modules[i]->http(e, r))
 			return;
 	}
 	counter_reason("lagoonpin_http_refused", "unknown_path");
--- a/lagoonpind/mesh.c
+++ b/lagoonpind/mesh.c
@@ -50,7 +50,7 @@
     struct entry *, const struct wire_header *, const void *, size_t, void *);
 static void pass_config(struct mesh *, const struct member_record *);
 
-const struct part mesh_part = {
+const struct module mesh_part = {
 	.name = "mesh",
 	.open = mesh_open,
 	.tick = mesh_tick,
@@ -203,8 +203,8 @@
 	size_t i;
 
 	for (i = 0; i < nparts; i++) {
-		if (parts[i] != &mesh_part && parts[i]->drained != NULL &&
-		    !parts[i]->drained(e))
+		if (modules[i] != &mesh_part && modules[i]->drained != NULL &&
+		    !modules[i]->drained(e))
 			return false;
 	}
 	return true;
--- a/lagoonpind/operators.c
+++ b/lagoonpind/operators.c
@@ -40,7 +40,7 @@
 /* Paths under /v1/, by kind. */
 static const char *const collections[] = { "services", "teams", "policy" };
 
-const struct part operators_part = {
+const struct module operators_part = {
 	.name = "operators",
 	.open = operators_open,
 	.tick = operators_tick,
@@ -397,8 +397,8 @@
 	    (size_t)(id - text) < sizeof(kind))
 		kind[id - text] = '\0';
 	for (i = 0; id != NULL && i < nparts; i++) {
-		if (parts[i]->explain != NULL &&
-		    parts[i]->explain(e, r, kind, id + 1))
+		if (modules[i]->explain != NULL &&
+		    modules[i]->explain(e, r, kind, id + 1))
 			return;
 	}
 	reply_error(r, 404, "not_found", NULL,
--- a/lagoonpind/parts.c
+++ b/lagoonpind/parts.c
@@ -1,6 +1,6 @@
 #include "lagoonpind.h"
 
-const struct part *const parts[] = {
+const struct module *const modules[] = {
 	&vms_part,
 	&conf_watch_part,
 	&mesh_part,
@@ -9,4 +9,4 @@
 	&callers_part,
 	&operators_part,
 };
-const size_t nparts = sizeof(parts) / sizeof(parts[0]);
+const size_t nparts = sizeof(modules) / sizeof(modules[0]);
--- a/lagoonpind/vms.c
+++ b/lagoonpind/vms.c
@@ -27,7 +27,7 @@
 static void apply_list(struct entry *, const char *, size_t);
 static void on_change(struct vm *, enum fleet_change, void *);
 
-const struct part vms_part = {
+const struct module vms_part = {
 	.name = "vms",
 	.open = vms_open,
 	.tick = vms_tick,
@@ -130,7 +130,7 @@
 	log_info("vm_changed", "vm=%s state=%s change=%d", v->info.id,
 	    vm_state_name(v->info.state), (int)change);
 	for (i = 0; i < nparts; i++) {
-		if (parts[i]->vm_changed != NULL)
-			parts[i]->vm_changed(e, v, change);
+		if (modules[i]->vm_changed != NULL)
+			modules[i]->vm_changed(e, v, change);
 	}
 }
--- a/tests/test_callers.cc
+++ b/tests/test_callers.cc
@@ -11,7 +11,7 @@
 extern "C" {
 #include "lagoonpind/callers.h"
 
-const struct part *const parts[] = { &vms_part, &conf_watch_part,
+const struct module *const modules[] = { &vms_part, &conf_watch_part,
 	&callers_part };
 const size_t nparts = 3;
 
@@ -197,7 +197,7 @@
 		h.loop = &loop_;
 		e.endpoint_http = httpc_open(&h);
 		e.store = open();
-		for (const part *p : parts)
+		for (const struct module *p : modules)
 			ASSERT_EQ(p->open(&e), 0);
 	}
 
--- a/tests/test_operators.cc
+++ b/tests/test_operators.cc
@@ -15,7 +15,7 @@
 #include "kvstand/gateway.h"
 #include "lagoonpind/lagoonpind.h"
 
-const struct part *const parts[] = { &conf_watch_part, &operators_part };
+const struct module *const modules[] = { &conf_watch_part, &operators_part };
 const size_t nparts = 2;
 }
 
@@ -133,7 +133,7 @@
 		s.call_timeout_ms = 60000;
 		s.watch_idle_ms = 600000;
 		n->e.store = store_open(&s);
-		for (const struct part *p : parts)
+		for (const struct module *p : modules)
 			ASSERT_EQ(p->open(&n->e), 0);
 		d.loop = &loop;
 		d.ip = "127.0.0.1";
@@ -172,7 +172,7 @@
 		gateway_tick(gateway, clock_now_ms());
 		for (struct node &n : nodes) {
 			store_tick(n.e.store, clock_now_ms());
-			for (const struct part *p : parts)
+			for (const struct module *p : modules)
 				p->tick(&n.e, clock_now_ms());
 		}
 	}
