--- a/lagoonpind/borrow.c
+++ b/lagoonpind/borrow.c
@@ -191,7 +191,7 @@
 }
 
 bool
-lend_want(
+lend_request(
     struct entry *e, const char *service, enum credit_kind kind, int waiting)
 {
 	struct lend_demand *d;
--- a/lagoonpind/call_admit.c
+++ b/lagoonpind/call_admit.c
@@ -56,5 +56,5 @@
 		call_refuse(c, reason_of(verdict), retry_after_ms);
 		return;
 	}
-	callers_due(c->callers);
+	callers_schedule_pass(c->callers);
 }
--- a/lagoonpind/call_answer.c
+++ b/lagoonpind/call_answer.c
@@ -150,7 +150,7 @@
 	took_ms = (double)(uv_hrtime() - c->arrived_ns) / NS_PER_MS;
 	count(c->callers, a);
 	explain_end(c, a);
-	if (a->outcome == OUTCOME_ANSWERED && c->lane == LANE_QUICK)
+	if (a->outcome == OUTCOME_ANSWERED && c->lane == LANE_UNARY)
 		latency_observe(c->service->latency, took_ms);
 	log_event(
 	    a->outcome == OUTCOME_UNKNOWN ? LOG_LEVEL_INFO : LOG_LEVEL_DEBUG,
@@ -162,7 +162,7 @@
 	c->answered = true;
 	c->request = NULL;
 	c->body = NULL;
-	call_free_if_over(c);
+	call_free_if_ended(c);
 }
 
 /*
--- a/lagoonpind/call_choose.c
+++ b/lagoonpind/call_choose.c
@@ -19,7 +19,7 @@
 		return -1;
 	for (i = 0; i < ep->nmembers; i++) {
 		if (ep->members[i].service == c->service &&
-		    ep->members[i].candidate_index[c->lane] != CALL_NOWHERE)
+		    ep->members[i].candidate_index[c->lane] != CALL_INDEX_NONE)
 			return (int)ep->members[i].candidate_index[c->lane];
 	}
 	return -1;
--- a/lagoonpind/call_claim.c
+++ b/lagoonpind/call_claim.c
@@ -12,7 +12,7 @@
 
 static struct call *call_of(struct claim *);
 static void ask(
-    struct claim *, struct callers *, enum queue_kind, enum op_kind, int64_t);
+    struct claim *, struct callers *, enum claim_queue_kind, enum claim_op_kind, int64_t);
 static void do_create(struct claim *, void *);
 static void do_replace(struct claim *, int64_t, void *);
 static void do_read(struct claim *, void *);
@@ -79,8 +79,8 @@
 }
 
 static void
-ask(struct claim *c, struct callers *cs, enum queue_kind queue,
-    enum op_kind kind, int64_t revision)
+ask(struct claim *c, struct callers *cs, enum claim_queue_kind queue,
+    enum claim_op_kind kind, int64_t revision)
 {
 	struct claim_op *op;
 
@@ -94,7 +94,7 @@
 	op->revision = revision;
 	op->call = call_of(c);
 	op->call->claim_op = op;
-	callers_due(cs);
+	callers_schedule_pass(cs);
 }
 
 static void
@@ -124,7 +124,7 @@
 
 	cs = ctx;
 	q = &cs->claim_store->queues[QUEUE_SETTLE];
-	if (q->nwaiting >= CLAIM_SETTLES_MAX) {
+	if (q->nwaiting >= CLAIM_SETTLE_QUEUE_MAX) {
 		counter_reason("lagoonpin_claims_unsettled", "queue_full");
 		return;
 	}
@@ -183,5 +183,5 @@
 		return;
 	}
 	call_refuse(call, reasons[why],
-	    why == CLAIM_REFUSED_STORE ? 2 * CLAIM_AWAY_MS : 0);
+	    why == CLAIM_REFUSED_STORE ? 2 * CLAIM_UNAVAILABLE_MS : 0);
 }
--- a/lagoonpind/call_collect.c
+++ b/lagoonpind/call_collect.c
@@ -110,7 +110,7 @@
 	    httpc_response_header(r->call, "lagoonpin-not-run") :
 	    NULL;
 	if (a->streaming)
-		call_watch_over(a, r->error);
+		call_watch_ended(a, r->error);
 	else if (refusal != NULL)
 		refused(a, refusal);
 	else if (r->error == HTTPC_OK && !matches(a, r->call))
@@ -224,7 +224,7 @@
 	answer = answer_of(r);
 	keep(c, &answer);
 	attempt_end(a, OUTCOME_ATTEMPT_COMPLETE);
-	call_free_if_over(c);
+	call_free_if_ended(c);
 }
 
 /* The endpoint says that it hasn't run it and won't. */
@@ -238,7 +238,7 @@
 	reason = outcome_refusal_reason(why);
 	choose_answered(&ep->lanes[a->lane].ce);
 	if (reason == OUTCOME_ENDPOINT_LEAVING)
-		endpoint_refused_leaving(ep, clock_now_ms());
+		endpoint_refused_draining(ep, clock_now_ms());
 	else if (reason == OUTCOME_ENDPOINT_FENCED)
 		endpoint_refused_fenced(ep, a->epoch);
 	call_collect_failed(a, OUTCOME_ATTEMPT_REFUSED, reason);
@@ -282,7 +282,7 @@
 	explain_attempt(c, a, outcome_reason_name(reason), 0);
 	attempt_end(a, how);
 	if (c->answered) {
-		call_free_if_over(c);
+		call_free_if_ended(c);
 		return;
 	}
 	/* The other endpoint of a hedged call may still answer. */
@@ -292,7 +292,7 @@
 	if (may_retry(c, how)) {
 		call_count_retry(c->callers, reason);
 		admit_requeue(&c->item);
-		callers_due(c->callers);
+		callers_schedule_pass(c->callers);
 		return;
 	}
 	call_refuse(c, c->request == NULL ? OUTCOME_CALLER_GONE : reason, 0);
--- a/lagoonpind/call_credit.c
+++ b/lagoonpind/call_credit.c
@@ -11,7 +11,7 @@
  * each call, so the lists are kept by swapping with the last one: O(1).
  */
 
-#define NOWHERE CALL_NOWHERE
+#define NOWHERE CALL_INDEX_NONE
 #define CANDIDATES_MIN 16
 
 static int spare(const struct endpoint *, enum call_lane);
@@ -25,7 +25,7 @@
 
 /* Credits may have come before the VM list named the worker. */
 void
-endpoint_find_spare(struct endpoint *ep)
+endpoint_load_credits(struct endpoint *ep)
 {
 	const struct credit_worker *row;
 
@@ -164,17 +164,17 @@
 		return;
 	ep->spare = row->spare;
 	endpoint_refresh(ep, clock_now_ms());
-	callers_due(cs);
+	callers_schedule_pass(cs);
 }
 
 void
-endpoints_watch_credits(struct callers *cs)
+endpoints_subscribe_credits(struct callers *cs)
 {
 	lend_on_change(cs->entry, on_credits, cs);
 }
 
 void
-endpoints_want_credits(
+endpoints_request_credits(
     struct callers *cs, struct call_service *s, enum call_lane lane)
 {
 	size_t waiting;
@@ -182,7 +182,7 @@
 	waiting = admit_waiting(s->lanes[lane].admit);
 	if (waiting == 0 || s->lanes[lane].ncandidates > 0)
 		return;
-	lend_want(cs->entry, s->name, credit_kind_of(lane), (int)waiting);
+	lend_request(cs->entry, s->name, credit_kind_of(lane), (int)waiting);
 }
 
 void
@@ -241,5 +241,5 @@
 	if (ep->state == VM_GONE && LIST_EMPTY(&ep->attempts) && !ep->pinned)
 		endpoint_free(ep);
 	free(a);
-	callers_due(cs);
+	callers_schedule_pass(cs);
 }
--- a/lagoonpind/call_endpoint.c
+++ b/lagoonpind/call_endpoint.c
@@ -100,7 +100,7 @@
 		m = &ep->members[ep->nmembers++];
 		m->service = s;
 		for (lane = 0; lane < NLANES; lane++)
-			m->candidate_index[lane] = CALL_NOWHERE;
+			m->candidate_index[lane] = CALL_INDEX_NONE;
 	}
 }
 
@@ -114,7 +114,7 @@
 	snprintf(ep->address, sizeof(ep->address), "%s:%d", v->info.ip,
 	    v->info.endpoint_port);
 	ep->state = v->info.state;
-	ep->lanes[LANE_QUICK].ce.slots = v->info.slots;
+	ep->lanes[LANE_UNARY].ce.slots = v->info.slots;
 	ep->lanes[LANE_WATCH].ce.slots = v->info.connections;
 	for (i = 0; i < NLANES; i++) {
 		ep->lanes[i].ce.data_center =
@@ -136,18 +136,18 @@
 			return;
 		if ((ep = endpoint_new(cs, v->info.id)) == NULL)
 			return;
-		endpoint_find_spare(ep);
+		endpoint_load_credits(ep);
 	}
 	update(ep, v);
 	join_services(ep, v);
 	endpoint_refresh(ep, now_ms);
 	ep->pinned = true;
 	if (ep->state != VM_LIVE)
-		call_watch_leave(ep);
+		call_watch_drain(ep);
 	ep->pinned = false;
 	if (ep->state == VM_GONE && LIST_EMPTY(&ep->attempts))
 		endpoint_free(ep);
-	callers_due(cs);
+	callers_schedule_pass(cs);
 }
 
 bool
@@ -158,7 +158,7 @@
 
 /* Endpoints that refused as leaving, and weren't, are taken back. */
 void
-endpoints_refresh_shunned(struct callers *cs, int64_t now_ms)
+endpoints_expire_refusals(struct callers *cs, int64_t now_ms)
 {
 	struct endpoint *ep;
 
@@ -167,16 +167,16 @@
 			continue;
 		ep->refused_until_ms = 0;
 		endpoint_refresh(ep, now_ms);
-		callers_due(cs);
+		callers_schedule_pass(cs);
 	}
 }
 
 void
-endpoint_refused_leaving(struct endpoint *ep, int64_t now_ms)
+endpoint_refused_draining(struct endpoint *ep, int64_t now_ms)
 {
 	ep->refused_until_ms = now_ms + LEAVING_MS;
 	endpoint_refresh(ep, now_ms);
-	call_watch_leave(ep);
+	call_watch_drain(ep);
 }
 
 void
--- a/lagoonpind/call_hedge.c
+++ b/lagoonpind/call_hedge.c
@@ -23,7 +23,7 @@
 	int64_t delay_ms;
 
 	s = c->service;
-	if (c->hedge_ms != 0 || !c->idempotent || c->lane != LANE_QUICK ||
+	if (c->hedge_ms != 0 || !c->idempotent || c->lane != LANE_UNARY ||
 	    s->budget.percent[BUDGET_HEDGE] == 0)
 		return;
 	delay_ms = HEDGE_FACTOR * admit_service_ms(s->lanes[c->lane].admit);
--- a/lagoonpind/call_read.c
+++ b/lagoonpind/call_read.c
@@ -155,7 +155,7 @@
 		r, "lagoonpin-priority", "urgent", "normal", &urgent, detail))
 		return OUTCOME_BAD_HEADER;
 	c->item.priority = urgent ? ADMIT_URGENT : ADMIT_NORMAL;
-	c->lane = watch ? LANE_WATCH : LANE_QUICK;
+	c->lane = watch ? LANE_WATCH : LANE_UNARY;
 	reason = read_text(r, "content-type", c->type, sizeof(c->type), detail);
 	if (reason != OUTCOME_COMPLETE)
 		return reason;
@@ -274,7 +274,7 @@
 	c->body = NULL;
 	if (c->answered)
 		return;
-	if (c->facts.open > 0 && c->lane == LANE_QUICK)
+	if (c->facts.open > 0 && c->lane == LANE_UNARY)
 		return;
 	call_refuse(c, OUTCOME_CALLER_GONE, 0);
 }
--- a/lagoonpind/call_watch.c
+++ b/lagoonpind/call_watch.c
@@ -40,7 +40,7 @@
 	c->head_sent = true;
 	c->at_line_end = true;
 	c->is_ndjson =
-	    strncmp(type, CALL_LINES_TYPE, strlen(CALL_LINES_TYPE)) == 0;
+	    strncmp(type, CALL_NDJSON_TYPE, strlen(CALL_NDJSON_TYPE)) == 0;
 	call_answer_begin(c, status, type);
 }
 
@@ -60,7 +60,7 @@
 
 /* The stream ended at the endpoint, was cut, or was cancelled from here. */
 void
-call_watch_over(struct attempt *a, enum httpc_error error)
+call_watch_ended(struct attempt *a, enum httpc_error error)
 {
 	struct call *c;
 	bool moved;
@@ -77,7 +77,7 @@
 		OUTCOME_ATTEMPT_COMPLETE :
 		OUTCOME_ATTEMPT_UNKNOWN);
 	if (c->answered)
-		call_free_if_over(c);
+		call_free_if_ended(c);
 	else if (moved)
 		send_again(c);
 	else if (error == HTTPC_OK)
@@ -88,7 +88,7 @@
 
 /* The endpoint leaves or this entry stops. */
 void
-call_watch_leave(struct endpoint *ep)
+call_watch_drain(struct endpoint *ep)
 {
 	struct attempt *a, *next;
 
@@ -135,7 +135,7 @@
 		call_watch_close(c);
 		return;
 	}
-	callers_due(c->callers);
+	callers_schedule_pass(c->callers);
 }
 
 static struct httpc_call *
--- a/lagoonpind/callers.c
+++ b/lagoonpind/callers.c
@@ -144,7 +144,7 @@
 		return -1;
 	}
 	open_handles(cs);
-	endpoints_watch_credits(cs);
+	endpoints_subscribe_credits(cs);
 	return 0;
 }
 
@@ -201,7 +201,7 @@
 }
 
 void
-callers_due(struct callers *cs)
+callers_schedule_pass(struct callers *cs)
 {
 	cs->pass_pending = true;
 }
@@ -214,8 +214,8 @@
 	if (admit_queued(cs->admit) == 0)
 		return;
 	LIST_FOREACH (s, &cs->services, link) {
-		endpoints_want_credits(cs, s, LANE_QUICK);
-		endpoints_want_credits(cs, s, LANE_WATCH);
+		endpoints_request_credits(cs, s, LANE_UNARY);
+		endpoints_request_credits(cs, s, LANE_WATCH);
 	}
 }
 
@@ -323,7 +323,7 @@
 		cs->conf_revision = revision;
 		services_apply_conf(cs, now_ms);
 	}
-	endpoints_refresh_shunned(cs, now_ms);
+	endpoints_expire_refusals(cs, now_ms);
 	end_watches(cs, now_ms);
 	share_quotas(cs, now_ms);
 	set_gauges(cs);
@@ -345,7 +345,7 @@
 	cs->draining = true;
 	admit_stop(cs->admit);
 	httpd_stop_listening(e->httpd);
-	callers_due(cs);
+	callers_schedule_pass(cs);
 }
 
 /*
@@ -363,7 +363,7 @@
 		return;
 	for (ep = LIST_FIRST(&cs->endpoints); ep != NULL; ep = next) {
 		next = LIST_NEXT(ep, link);
-		call_watch_leave(ep);
+		call_watch_drain(ep);
 	}
 }
 
@@ -375,7 +375,7 @@
 }
 
 void
-call_free_if_over(struct call *c)
+call_free_if_ended(struct call *c)
 {
 	if (!c->answered || !LIST_EMPTY(&c->attempts))
 		return;
@@ -406,7 +406,7 @@
 	struct callers *cs;
 
 	cs = handle->data;
-	if (cs->ncalls > 0 || claim_store_asking(cs->claim_store)) {
+	if (cs->ncalls > 0 || claim_store_in_flight(cs->claim_store)) {
 		log_warn("calls_cut_off", "calls=%zu", cs->ncalls);
 		return;
 	}
--- a/lagoonpind/callers.h
+++ b/lagoonpind/callers.h
@@ -29,18 +29,18 @@
 #define CALL_SERVICE_MAX 64
 #define CALL_TYPE_MAX 128
 #define CALL_ATTEMPTS_MAX 4
-#define CALL_NOWHERE SIZE_MAX
+#define CALL_INDEX_NONE SIZE_MAX
 #define CALL_ENDPOINT_TABLE 256
 #define CALL_URL_MAX 160
 #define STATUS_OK 200
-#define CALL_LINES_TYPE "application/x-ndjson"
+#define CALL_NDJSON_TYPE "application/x-ndjson"
 #define CALL_REOPEN_LINE "{\"lagoonpin-watch\":\"reopen\"}\n"
 
 /*
  * Quick calls take a slot and a connection, standing watches only a
  * connection.  Each lane has its own queue and its own credits.
  */
-enum call_lane { LANE_QUICK, LANE_WATCH, NLANES };
+enum call_lane { LANE_UNARY, LANE_WATCH, NLANES };
 
 /* What is counted by reason. */
 enum call_counted {
@@ -67,7 +67,7 @@
 /* An endpoint's place in the list of candidates of a service. */
 struct endpoint_member {
 	struct call_service *service;
-	size_t candidate_index[NLANES]; /* or CALL_NOWHERE */
+	size_t candidate_index[NLANES]; /* or CALL_INDEX_NONE */
 	int64_t counted_credits[NLANES]; /* credits entered in its capacity */
 	bool is_live; /* entered in its number of endpoints */
 };
@@ -144,7 +144,7 @@
 	bool idempotent;
 	bool has_client_id; /* the caller's, not made up here */
 	bool head_sent; /* a watch: the caller has the head of the answer */
-	bool is_ndjson; /* its answer is of CALL_LINES_TYPE */
+	bool is_ndjson; /* its answer is of CALL_NDJSON_TYPE */
 	bool at_line_end; /* the last byte passed on ended a line */
 	bool answered; /* only attempts or a claim are left */
 	const char *body; /* held by the request */
@@ -224,9 +224,9 @@
 /* call_watch.c: answers that are passed on as they come. */
 void call_watch_head(struct attempt *, int status, const char *type);
 void call_watch_data(struct attempt *, const char *data, size_t len);
-void call_watch_over(struct attempt *, enum httpc_error);
+void call_watch_ended(struct attempt *, enum httpc_error);
 /* Move the watches of a leaving endpoint, or end them if this entry stops. */
-void call_watch_leave(struct endpoint *);
+void call_watch_drain(struct endpoint *);
 /* End the stream in a way that tells the caller to open it again. */
 void call_watch_close(struct call *);
 /* The call is over for this reason; stop its stream, if any. */
@@ -250,8 +250,8 @@
 void call_count_retry(struct callers *, enum outcome_reason);
 
 /* callers.c */
-void callers_due(struct callers *); /* run a pass before the loop sleeps */
-void call_free_if_over(struct call *);
+void callers_schedule_pass(struct callers *); /* run a pass before the loop sleeps */
+void call_free_if_ended(struct call *);
 
 /* call_service.c */
 struct call_service *service_find(struct callers *, const char *name);
@@ -267,8 +267,8 @@
 /* Whether new calls may go there. */
 bool endpoint_usable(const struct endpoint *, int64_t now_ms);
 /* It refused a call because it leaves; the VM list lags. */
-void endpoint_refused_leaving(struct endpoint *, int64_t now_ms);
-void endpoints_refresh_shunned(struct callers *, int64_t now_ms);
+void endpoint_refused_draining(struct endpoint *, int64_t now_ms);
+void endpoints_expire_refusals(struct callers *, int64_t now_ms);
 void endpoints_close(struct callers *);
 /* Choice compares data centres as numbers only. */
 int data_center_number(const char *);
@@ -277,13 +277,13 @@
 /* Its credits or its state changed: enter them in its services' lists. */
 void endpoint_refresh(struct endpoint *, int64_t now_ms);
 /* Credits may have come before the VM list named the worker. */
-void endpoint_find_spare(struct endpoint *);
+void endpoint_load_credits(struct endpoint *);
 /* It refused the epoch of our credits: a new owner has fenced it. */
 void endpoint_refused_fenced(struct endpoint *, uint64_t epoch);
 /* Be told of credits that come and go. */
-void endpoints_watch_credits(struct callers *);
+void endpoints_subscribe_credits(struct callers *);
 /* Calls of this lane wait for want of credits. */
-void endpoints_want_credits(
+void endpoints_request_credits(
     struct callers *, struct call_service *, enum call_lane);
 /* Take a credit; NULL: none, or no memory.  It is held by the attempt. */
 struct attempt *attempt_new(struct call *, struct endpoint *);
@@ -294,7 +294,7 @@
 struct claim_store *claim_store_open(struct entry *);
 void claim_store_close(struct claim_store *);
 /* The store owes an answer. */
-bool claim_store_asking(const struct claim_store *);
+bool claim_store_in_flight(const struct claim_store *);
 /* Nothing is left to be asked, or the store is away. */
 bool claim_store_idle(const struct claim_store *);
 void claim_store_flush(struct claim_store *, int64_t now_ms);
--- a/lagoonpind/claim_answer.c
+++ b/lagoonpind/claim_answer.c
@@ -75,11 +75,11 @@
 		break;
 	}
 	if (s->failures >= AWAY_FAILURES)
-		s->unavailable_until_ms = clock_now_ms() + CLAIM_AWAY_MS;
+		s->unavailable_until_ms = clock_now_ms() + CLAIM_UNAVAILABLE_MS;
 }
 
 void
-claim_group_answered(const struct store_txn_result *r, void *ctx)
+claim_group_done(const struct store_txn_result *r, void *ctx)
 {
 	struct claim_op_list ended;
 	struct claim_queue *q;
@@ -94,11 +94,11 @@
 	for (i = 0; (op = TAILQ_FIRST(&ended)) != NULL; i++) {
 		TAILQ_REMOVE(&ended, op, link);
 		if (r->error != STORE_OK)
-			claim_failed(q, op, r->error);
+			claim_op_failed(q, op, r->error);
 		else
 			apply(q, op, r, i);
 	}
-	callers_due(q->store->entry->callers);
+	callers_schedule_pass(q->store->entry->callers);
 }
 
 static void
@@ -115,7 +115,7 @@
 		memset(&own, 0, sizeof(own));
 		strlcpy(own.nonce, op->nonce, sizeof(own.nonce));
 		own.revision = r->revision;
-		claim_tell(op, CLAIM_STORE_DONE, &own);
+		claim_op_complete(op, CLAIM_STORE_DONE, &own);
 	} else if (op->kind == OP_SETTLE) {
 		apply_settle(q, op, &r->ops[i]);
 	} else {
@@ -129,11 +129,11 @@
 	struct claim_record record;
 
 	if (r->nkvs == 0) {
-		claim_tell(op, CLAIM_STORE_ABSENT, NULL);
+		claim_op_complete(op, CLAIM_STORE_ABSENT, NULL);
 		return;
 	}
 	parse_record(&r->kvs[0], &record);
-	claim_tell(op, CLAIM_STORE_DONE, &record);
+	claim_op_complete(op, CLAIM_STORE_DONE, &record);
 }
 
 static void
@@ -151,11 +151,11 @@
 		return;
 	}
 	if (r->nkvs == 0) {
-		claim_tell(op, CLAIM_STORE_ABSENT, NULL);
+		claim_op_complete(op, CLAIM_STORE_ABSENT, NULL);
 		return;
 	}
 	parse_record(&r->kvs[0], &record);
-	claim_tell(op, CLAIM_STORE_CONFLICT, &record);
+	claim_op_complete(op, CLAIM_STORE_CONFLICT, &record);
 }
 
 static void
@@ -179,7 +179,7 @@
 }
 
 void
-claim_failed(struct claim_queue *q, struct claim_op *op, enum store_error error)
+claim_op_failed(struct claim_queue *q, struct claim_op *op, enum store_error error)
 {
 	bool applied;
 
@@ -192,7 +192,7 @@
 		return;
 	}
 	if (op->kind != OP_SETTLE) {
-		claim_tell(op,
+		claim_op_complete(op,
 		    applied ? CLAIM_STORE_NO_ANSWER : CLAIM_STORE_UNAVAILABLE,
 		    NULL);
 		return;
--- a/lagoonpind/claim_store.c
+++ b/lagoonpind/claim_store.c
@@ -50,7 +50,7 @@
 	s->entry = e;
 	for (i = 0; i < NQUEUES; i++) {
 		s->queues[i].store = s;
-		s->queues[i].kind = (enum queue_kind)i;
+		s->queues[i].kind = (enum claim_queue_kind)i;
 		TAILQ_INIT(&s->queues[i].waiting);
 		TAILQ_INIT(&s->queues[i].in_flight);
 	}
@@ -73,7 +73,7 @@
 }
 
 bool
-claim_store_asking(const struct claim_store *s)
+claim_store_in_flight(const struct claim_store *s)
 {
 	int i;
 
@@ -100,7 +100,7 @@
 }
 
 struct claim_op *
-claim_op_new(struct claim_store *s, enum queue_kind queue, enum op_kind kind,
+claim_op_new(struct claim_store *s, enum claim_queue_kind queue, enum claim_op_kind kind,
     const struct claim *c, enum claim_mark mark)
 {
 	struct claim_queue *q;
@@ -136,7 +136,7 @@
 }
 
 void
-claim_tell(struct claim_op *op, enum claim_store_result result,
+claim_op_complete(struct claim_op *op, enum claim_store_result result,
     const struct claim_record *record)
 {
 	struct call *c;
@@ -225,7 +225,7 @@
 		txn.failure = gets;
 		txn.nfailure = n;
 	}
-	return store_txn(q->store->entry->store, &txn, claim_group_answered, q);
+	return store_txn(q->store->entry->store, &txn, claim_group_done, q);
 }
 
 static void
@@ -246,7 +246,7 @@
 	}
 	while ((op = TAILQ_FIRST(&q->in_flight)) != NULL) {
 		TAILQ_REMOVE(&q->in_flight, op, link);
-		claim_failed(q, op, error);
+		claim_op_failed(q, op, error);
 	}
 }
 
@@ -262,7 +262,7 @@
 		op = TAILQ_FIRST(&q->waiting);
 		TAILQ_REMOVE(&q->waiting, op, link);
 		q->nwaiting--;
-		claim_tell(op, CLAIM_STORE_UNAVAILABLE, NULL);
+		claim_op_complete(op, CLAIM_STORE_UNAVAILABLE, NULL);
 	}
 }
 
@@ -320,7 +320,7 @@
 		s->lease = r->lease;
 		s->lease_asked_ms = s->grant_asked_ms;
 	} else if (r->error != STORE_ERR_BUDGET && s->lease == 0) {
-		s->unavailable_until_ms = clock_now_ms() + CLAIM_AWAY_MS;
+		s->unavailable_until_ms = clock_now_ms() + CLAIM_UNAVAILABLE_MS;
 	}
-	callers_due(s->entry->callers);
+	callers_schedule_pass(s->entry->callers);
 }
--- a/lagoonpind/claim_store.h
+++ b/lagoonpind/claim_store.h
@@ -9,16 +9,16 @@
 #define CLAIM_KEY_MAX (sizeof(CLAIM_PREFIX) + CLAIM_ID_MAX)
 #define CLAIM_VALUE_MAX 256
 #define CLAIM_REVISION_UNKNOWN (-1)
-#define CLAIM_SETTLES_MAX 4096
+#define CLAIM_SETTLE_QUEUE_MAX 4096
 /* After a failure newcomers are refused at once for so long. */
-#define CLAIM_AWAY_MS 1000
+#define CLAIM_UNAVAILABLE_MS 1000
 
-enum op_kind { OP_CREATE, OP_REPLACE, OP_READ, OP_SETTLE };
-enum queue_kind { QUEUE_WRITE, QUEUE_READ, QUEUE_SETTLE, NQUEUES };
+enum claim_op_kind { OP_CREATE, OP_REPLACE, OP_READ, OP_SETTLE };
+enum claim_queue_kind { QUEUE_WRITE, QUEUE_READ, QUEUE_SETTLE, NQUEUES };
 
 struct claim_op {
 	TAILQ_ENTRY(claim_op) link;
-	enum op_kind kind;
+	enum claim_op_kind kind;
 	struct call *call; /* NULL: settles, and calls that gave up */
 	char key[CLAIM_KEY_MAX];
 	char value[CLAIM_VALUE_MAX]; /* to be written */
@@ -30,7 +30,7 @@
 
 struct claim_queue {
 	struct claim_store *store;
-	enum queue_kind kind;
+	enum claim_queue_kind kind;
 	struct claim_op_list waiting;
 	struct claim_op_list in_flight; /* in the order of the transaction */
 	size_t nwaiting;
@@ -49,7 +49,7 @@
 };
 
 /* Queue one; NULL: no memory. */
-struct claim_op *claim_op_new(struct claim_store *, enum queue_kind,
-    enum op_kind, const struct claim *, enum claim_mark);
+struct claim_op *claim_op_new(struct claim_store *, enum claim_queue_kind,
+    enum claim_op_kind, const struct claim *, enum claim_mark);
 
 #endif /* CLAIM_STORE_H */
--- a/lagoonpind/lagoonpind.h
+++ b/lagoonpind/lagoonpind.h
@@ -187,7 +187,7 @@
  * The worker's answer to the first fence at this epoch.  The epoch must have
  * been raised by this process: after a restart of the owner too.
  */
-void lend_mint(struct entry *, const char *worker, uint64_t epoch,
+void lend_issue(struct entry *, const char *worker, uint64_t epoch,
     struct credit_amount used);
 /* What a renewal at this epoch reports. */
 void lend_report(struct entry *, const char *worker, uint64_t epoch,
@@ -230,7 +230,7 @@
  * request at a time and at a bounded rate.  Credits that come show up through
  * on_change.  false: no peer seems to have any, or asked too often.
  */
-bool lend_want(
+bool lend_request(
     struct entry *, const char *service, enum credit_kind, int waiting);
 
 /*
--- a/lagoonpind/lend.c
+++ b/lagoonpind/lend.c
@@ -127,7 +127,7 @@
 }
 
 void
-lend_mint(struct entry *e, const char *worker, uint64_t epoch,
+lend_issue(struct entry *e, const char *worker, uint64_t epoch,
     struct credit_amount used)
 {
 	struct credit_amount capacity;
--- a/lagoonpind/task_watch.c
+++ b/lagoonpind/task_watch.c
@@ -181,7 +181,7 @@
 	    "worker=%s shard=%s epoch=%llu running=%zu finished=%zu", w->id,
 	    s->name, (unsigned long long)s->ledger->epoch, running.n,
 	    finished.n);
-	lend_mint(s->batch->entry, w->id, s->ledger->epoch, used_of(body));
+	lend_issue(s->batch->entry, w->id, s->ledger->epoch, used_of(body));
 }
 
 static void
--- a/tests/test_callers.cc
+++ b/tests/test_callers.cc
@@ -88,7 +88,7 @@
 {
 }
 bool
-lend_want(struct entry *, const char *, enum credit_kind, int)
+lend_request(struct entry *, const char *, enum credit_kind, int)
 {
 	return false;
 }
