--- a/lagoonpind/batch.c
+++ b/lagoonpind/batch.c
@@ -69,9 +69,9 @@
 	b->random = (uint64_t)e->opt.seed;
 	b->shard_options.silence_ms = e->opt.silence_ms;
 	b->shard_options.settle_ms = e->opt.silence_ms * SETTLE_FACTOR;
-	b->retire_ms = clock_now_ms() + RETIRE_FIRST_MS;
+	b->next_retire_ms = clock_now_ms() + RETIRE_FIRST_MS;
 	b->actions = actions;
-	b->actions.lost = own_lost;
+	b->actions.lost = own_on_lost;
 	TAILQ_INIT(&b->shards);
 	TAILQ_INIT(&b->calls);
 	LIST_INIT(&b->requests);
@@ -224,7 +224,7 @@
 	if (!s->announced && s->ledger->phase == LEDGER_OWNED)
 		note_owned(s);
 	if (s->lost)
-		own_drop(s, now_ms);
+		own_close(s, now_ms);
 }
 
 static void
--- a/lagoonpind/batch.h
+++ b/lagoonpind/batch.h
@@ -135,8 +135,8 @@
 	struct batch_worker_list workers[BATCH_WORKER_BUCKETS];
 	struct batch_job_list jobs[BATCH_JOB_BUCKETS];
 	bool records_reading;
-	int64_t swept_ms;
-	int64_t retire_ms; /* next round */
+	int64_t last_sweep_ms;
+	int64_t next_retire_ms; /* next round */
 	struct worker_calls calls;
 	struct pending_requests requests; /* of operators, on their way */
 	struct learn *learn;
@@ -160,11 +160,11 @@
 
 /* task_own.c */
 void own_tick(struct batch_shard *, int64_t now_ms);
-void own_lost(struct ledger *, enum ledger_lost, void *ctx);
+void own_on_lost(struct ledger *, enum ledger_lost, void *ctx);
 /* Close a lost ledger and what goes with it. */
-void own_drop(struct batch_shard *, int64_t now_ms);
+void own_close(struct batch_shard *, int64_t now_ms);
 /* The live entries' ids, this one included; returns how many. */
-size_t own_live(struct batch *, const char **ids, size_t max, int64_t now_ms);
+size_t own_live_entries(struct batch *, const char **ids, size_t max, int64_t now_ms);
 
 /* task_write.c: the store side of ledger_actions. */
 void write_ledger(struct ledger *, void *ctx);
@@ -193,7 +193,7 @@
     struct ledger *, struct ledger_task *, int64_t now_ms, void *ctx);
 
 /* task_weights.c: scale a decision's own weights by the operators' policy. */
-void weights_of_policy(const struct record_policy *, double *tail,
+void weights_scale(const struct record_policy *, double *tail,
     double *throughput, double *eviction);
 
 /* task_quota.c */
@@ -222,20 +222,20 @@
 
 /* task_evict.c */
 /* The calls of a service there, announced with each measurement of it. */
-void evict_calls(struct batch_worker *, const char *name, int64_t calls);
+void evict_note_calls(struct batch_worker *, const char *name, int64_t calls);
 /* A late measurement of a service arrived. */
-void evict_measure(struct batch_shard *, struct ledger_worker *,
+void evict_on_measurement(struct batch_shard *, struct ledger_worker *,
     const char *name, double p99_ms, int64_t measured_ms, int64_t now_ms);
 /* Make room for urgent tasks, move and give up what can't run here. */
 void evict_tick(struct batch_shard *, int64_t now_ms);
 /* The throttles of attempts that are over are forgotten. */
-void evict_forget(struct batch_worker *, const char *task);
+void evict_forget_throttles(struct batch_worker *, const char *task);
 
 /* task_finish.c */
 /* The attempt as core/learn knows it. */
 uint64_t task_tenant(const char *task, uint32_t attempt);
 /* The attempt no longer runs on the worker. */
-void finish_left(struct batch_shard *, const char *worker, const char *task,
+void finish_attempt(struct batch_shard *, const char *worker, const char *task,
     uint32_t attempt, int64_t now_ms);
 void finish_outcome(struct ledger *, struct ledger_task *,
     struct ledger_worker *, enum task_outcome, void *ctx);
@@ -249,7 +249,7 @@
 	WORKER_STOP,
 	WORKER_CHECKPOINT,
 	WORKER_THROTTLE,
-	WORKER_STRAY
+	WORKER_STOP_STRAY
 };
 
 struct json_t;
--- a/lagoonpind/task_bind.c
+++ b/lagoonpind/task_bind.c
@@ -185,7 +185,7 @@
 	bind_options_default(o);
 	o->ahead_ms = b->entry->opt.ahead_ms;
 	policy = conf_policy(entry_conf(b->entry));
-	weights_of_policy(policy, &o->tail_weight, &o->throughput_weight,
+	weights_scale(policy, &o->tail_weight, &o->throughput_weight,
 	    &o->eviction_weight);
 }
 
--- a/lagoonpind/task_call.c
+++ b/lagoonpind/task_call.c
@@ -241,7 +241,7 @@
 		ledger_fenced(s->ledger, fenced, now_ms);
 	} else if (c->kind == WORKER_FENCE || c->kind == WORKER_RENEW)
 		watch_answered(s, c, answer, body, now_ms);
-	else if (c->kind != WORKER_STRAY)
+	else if (c->kind != WORKER_STOP_STRAY)
 		start_answered(s, c, answer, body, now_ms);
 	call_free(c);
 	batch_step(s, now_ms);
--- a/lagoonpind/task_evict.c
+++ b/lagoonpind/task_evict.c
@@ -58,7 +58,7 @@
 }
 
 void
-evict_calls(struct batch_worker *w, const char *name, int64_t calls)
+evict_note_calls(struct batch_worker *w, const char *name, int64_t calls)
 {
 	struct batch_service *service;
 
@@ -103,7 +103,7 @@
 }
 
 void
-evict_forget(struct batch_worker *w, const char *task)
+evict_forget_throttles(struct batch_worker *w, const char *task)
 {
 	struct batch_throttle *t, *next;
 
@@ -122,7 +122,7 @@
 {
 	struct batch_throttle *t;
 
-	evict_forget(w, task);
+	evict_forget_throttles(w, task);
 	if (percent >= 100 || (t = calloc(1, sizeof(*t))) == NULL)
 		return;
 	strlcpy(t->task, task, sizeof(t->task));
@@ -190,7 +190,7 @@
 
 	evict_options_default(o);
 	policy = conf_policy(entry_conf(s->batch->entry));
-	weights_of_policy(policy, &o->tail_weight, &o->throughput_weight,
+	weights_scale(policy, &o->tail_weight, &o->throughput_weight,
 	    &o->eviction_weight);
 	if (policy->protect_after > 0)
 		o->max_evictions = (int)policy->protect_after;
@@ -232,7 +232,7 @@
 }
 
 void
-evict_measure(struct batch_shard *s, struct ledger_worker *w, const char *name,
+evict_on_measurement(struct batch_shard *s, struct ledger_worker *w, const char *name,
     double p99_ms, int64_t measured_ms, int64_t now_ms)
 {
 	struct evict_task views[TASKS_MAX];
--- a/lagoonpind/task_finish.c
+++ b/lagoonpind/task_finish.c
@@ -19,7 +19,7 @@
 }
 
 void
-finish_left(struct batch_shard *s, const char *worker, const char *task,
+finish_attempt(struct batch_shard *s, const char *worker, const char *task,
     uint32_t attempt, int64_t now_ms)
 {
 	struct batch_worker *w;
@@ -27,7 +27,7 @@
 	if ((w = batch_worker_get(s->batch, worker)) == NULL)
 		return;
 	learn_tenant_end(w->learn, task_tenant(task, attempt), now_ms);
-	evict_forget(w, task);
+	evict_forget_throttles(w, task);
 }
 
 static void
@@ -79,7 +79,7 @@
 			    task_tenant(id, t->r.attempt), job->kind, took_ms,
 			    t->r.run_ms, now_ms);
 	}
-	finish_left(s, lw->id, id, t->r.attempt, now_ms);
+	finish_attempt(s, lw->id, id, t->r.attempt, now_ms);
 }
 
 void
--- a/lagoonpind/task_own.c
+++ b/lagoonpind/task_own.c
@@ -39,7 +39,7 @@
 static void tell_peers(struct batch_shard *, const char *, uint64_t);
 
 size_t
-own_live(struct batch *b, const char **ids, size_t max, int64_t now_ms)
+own_live_entries(struct batch *b, const char **ids, size_t max, int64_t now_ms)
 {
 	const struct member *m;
 	struct members *members;
@@ -65,7 +65,7 @@
 	const char *ids[BATCH_LIVE_MAX];
 	size_t n, at;
 
-	n = own_live(s->batch, ids, BATCH_LIVE_MAX, now_ms);
+	n = own_live_entries(s->batch, ids, BATCH_LIVE_MAX, now_ms);
 	at = shard_home(s->name, ids, n);
 	*home = at < n ? ids[at] : "";
 	return strcmp(*home, s->batch->entry->opt.id) == 0;
@@ -317,7 +317,7 @@
 }
 
 void
-own_lost(struct ledger *l, enum ledger_lost reason, void *ctx)
+own_on_lost(struct ledger *l, enum ledger_lost reason, void *ctx)
 {
 	struct batch_shard *s;
 
@@ -328,7 +328,7 @@
 }
 
 void
-own_drop(struct batch_shard *s, int64_t now_ms)
+own_close(struct batch_shard *s, int64_t now_ms)
 {
 	struct ledger *l;
 	uint64_t epoch;
--- a/lagoonpind/task_record.c
+++ b/lagoonpind/task_record.c
@@ -231,8 +231,8 @@
 void
 record_tick(struct batch *b, int64_t now_ms)
 {
-	if (now_ms - b->swept_ms >= SWEEP_MS) {
-		b->swept_ms = now_ms;
+	if (now_ms - b->last_sweep_ms >= SWEEP_MS) {
+		b->last_sweep_ms = now_ms;
 		sweep(b, now_ms);
 	}
 	if (!b->records_reading)
--- a/lagoonpind/task_retire.c
+++ b/lagoonpind/task_retire.c
@@ -39,10 +39,10 @@
 	struct retire *r;
 	size_t at, n;
 
-	if (now_ms < b->retire_ms || b->entry->phase != ENTRY_RUNNING)
+	if (now_ms < b->next_retire_ms || b->entry->phase != ENTRY_RUNNING)
 		return;
-	b->retire_ms = now_ms + RETIRE_MS;
-	n = own_live(b, ids, BATCH_LIVE_MAX, now_ms);
+	b->next_retire_ms = now_ms + RETIRE_MS;
+	n = own_live_entries(b, ids, BATCH_LIVE_MAX, now_ms);
 	at = shard_home(BATCH_JOB_PREFIX, ids, n);
 	if (at == n || strcmp(ids[at], b->entry->opt.id) != 0)
 		return;
@@ -130,7 +130,7 @@
 		delete_jobs(b, ended, n);
 	/* More of them wait: don't pause. */
 	if (n == RETIRE_MAX)
-		b->retire_ms = 0;
+		b->next_retire_ms = 0;
 }
 
 /* Each job only if it is still the record that was read. */
--- a/lagoonpind/task_start.c
+++ b/lagoonpind/task_start.c
@@ -100,7 +100,7 @@
 	    "task=%s attempt=%u worker=%s shard=%s epoch=%llu", task, attempt,
 	    w->id, s->name, (unsigned long long)l->epoch);
 	call_worker(
-	    s, WORKER_STRAY, w, task, attempt, json_object(), TASK_TIMEOUT_MS);
+	    s, WORKER_STOP_STRAY, w, task, attempt, json_object(), TASK_TIMEOUT_MS);
 }
 
 static void
@@ -142,7 +142,7 @@
 	    token == NULL ? "" : token,
 	    json_integer_value(json_object_get(body, "progress_ms")), now_ms);
 	if (result == RESULT_OK)
-		finish_left(s, c->worker, c->task, c->attempt, now_ms);
+		finish_attempt(s, c->worker, c->task, c->attempt, now_ms);
 }
 
 void
@@ -157,7 +157,7 @@
 		ledger_stop_answered(
 		    s->ledger, c->task, c->attempt, result, now_ms);
 		if (result == RESULT_OK)
-			finish_left(s, c->worker, c->task, c->attempt, now_ms);
+			finish_attempt(s, c->worker, c->task, c->attempt, now_ms);
 		break;
 	case WORKER_CHECKPOINT:
 		on_checkpointed(s, c, result, body, now_ms);
--- a/lagoonpind/task_watch.c
+++ b/lagoonpind/task_watch.c
@@ -236,7 +236,7 @@
 		if (name == NULL)
 			continue;
 		calls = json_integer_value(json_object_get(o, "calls"));
-		evict_calls(bw, name, calls);
+		evict_note_calls(bw, name, calls);
 		if (calls == 0)
 			continue;
 		p99_ms = json_number_value(json_object_get(o, "p99_ms"));
@@ -244,7 +244,7 @@
 		    json_integer_value(json_object_get(o, "measured_ms_ago"));
 		learn_service_p99(bw->learn, learn_kind(s->batch->learn, name),
 		    p99_ms, measured_ms, WINDOW_MS);
-		evict_measure(s, w, name, p99_ms, measured_ms, now_ms);
+		evict_on_measurement(s, w, name, p99_ms, measured_ms, now_ms);
 	}
 }
 
--- a/lagoonpind/task_weights.c
+++ b/lagoonpind/task_weights.c
@@ -12,7 +12,7 @@
 }
 
 void
-weights_of_policy(const struct record_policy *policy, double *tail,
+weights_scale(const struct record_policy *policy, double *tail,
     double *throughput, double *eviction)
 {
 	struct record_policy def;
