--- a/lagoonpind/batch.c
+++ b/lagoonpind/batch.c
@@ -26,7 +26,7 @@
 static void free_workers(struct batch *);
 static void note_gauges(struct batch *);
 
-const struct module batch_part = {
+const struct module batch_module = {
 	.name = "batch",
 	.open = batch_open,
 	.tick = batch_tick,
--- a/lagoonpind/callers.c
+++ b/lagoonpind/callers.c
@@ -54,7 +54,7 @@
 static void share_quotas(struct callers *, int64_t);
 static void set_gauges(struct callers *);
 
-const struct module callers_part = {
+const struct module callers_module = {
 	.name = "callers",
 	.open = callers_open,
 	.tick = callers_tick,
--- a/lagoonpind/conf_watch.c
+++ b/lagoonpind/conf_watch.c
@@ -45,7 +45,7 @@
 static void apply(struct conf_watch *, const struct conf_update *);
 static void on_change(const struct conf_item *, void *);
 
-const struct module conf_watch_part = {
+const struct module conf_watch_module = {
 	.name = "conf_watch",
 	.open = conf_watch_open,
 	.tick = conf_watch_tick,
--- a/lagoonpind/lagoonpind.h
+++ b/lagoonpind/lagoonpind.h
@@ -124,20 +124,20 @@
 	void (*close)(struct entry *);
 };
 
-extern const struct module vms_part;
-extern const struct module conf_watch_part;
-extern const struct module batch_part;
-extern const struct module mesh_part;
-extern const struct module lend_part;
-extern const struct module callers_part;
-extern const struct module operators_part;
+extern const struct module vms_module;
+extern const struct module conf_watch_module;
+extern const struct module batch_module;
+extern const struct module mesh_module;
+extern const struct module lend_module;
+extern const struct module callers_module;
+extern const struct module operators_module;
 
 /* options.c: exits on a bad setting. */
 void options_parse(struct options *, int argc, char **argv);
 
 /* parts.c: the parts in the order in which they are opened. */
 extern const struct module *const modules[];
-extern const size_t nparts;
+extern const size_t nmodules;
 
 /*
  * conf_watch.c: the one watch of this entry, on lp/w/.  Parts register a
--- a/lagoonpind/lend.c
+++ b/lagoonpind/lend.c
@@ -31,7 +31,7 @@
 static void recover_lost(struct entry *, int64_t);
 static struct shard_recovery *recovery_of(struct lend *, const char *);
 
-const struct module lend_part = {
+const struct module lend_module = {
 	.name = "lend",
 	.open = lend_open,
 	.tick = lend_tick,
@@ -110,7 +110,7 @@
 {
 	struct lend *lend = e->lend;
 
-	owners_tell_abandoned(e);
+	owners_report_abandoned(e);
 	if (now_ms - lend->returned_ms >= IDLE_MS ||
 	    e->phase != ENTRY_RUNNING) {
 		lend->returned_ms = now_ms;
@@ -118,7 +118,7 @@
 	}
 	if (now_ms - lend->holdings_sent_ms >= STATE_MS) {
 		lend->holdings_sent_ms = now_ms;
-		owners_state_held(e);
+		owners_report_held(e);
 	}
 	if (now_ms - lend->recovered_ms >= LOST_MS) {
 		lend->recovered_ms = now_ms;
--- a/lagoonpind/lend.h
+++ b/lagoonpind/lend.h
@@ -63,8 +63,8 @@
 /* A borrowed credit was abandoned: tell its owner with the next tick. */
 void owners_abandoned(
     struct lend *, const struct credit_worker *, enum credit_kind);
-void owners_tell_abandoned(struct entry *);
+void owners_report_abandoned(struct entry *);
 /* Tell each owner how much of its shards is held here. */
-void owners_state_held(struct entry *);
+void owners_report_held(struct entry *);
 
 #endif /* LEND_H */
--- a/lagoonpind/main.c
+++ b/lagoonpind/main.c
@@ -112,7 +112,7 @@
 {
 	size_t i;
 
-	for (i = 0; i < nparts; i++) {
+	for (i = 0; i < nmodules; i++) {
 		if (modules[i]->open != NULL && modules[i]->open(e) == -1)
 			errx(1, "%s: can't be opened", modules[i]->name);
 	}
@@ -159,7 +159,7 @@
 
 	e = timer->data;
 	now_ms = clock_now_ms();
-	for (i = 0; i < nparts; i++) {
+	for (i = 0; i < nmodules; i++) {
 		if (modules[i]->tick != NULL)
 			modules[i]->tick(e, now_ms);
 	}
@@ -197,7 +197,7 @@
 	e->phase = ENTRY_DRAINING;
 	e->drain_since_ms = now_ms;
 	log_info("draining", "drain_ms=%lld", (long long)e->opt.drain_ms);
-	for (i = nparts; i > 0; i--) {
+	for (i = nmodules; i > 0; i--) {
 		if (modules[i - 1]->drain != NULL)
 			modules[i - 1]->drain(e, now_ms);
 	}
@@ -208,7 +208,7 @@
 {
 	size_t i;
 
-	for (i = 0; i < nparts; i++) {
+	for (i = 0; i < nmodules; i++) {
 		if (modules[i]->drained == NULL || modules[i]->drained(e))
 			continue;
 		if (now_ms - e->drain_since_ms < e->opt.drain_ms)
@@ -231,7 +231,7 @@
 	uv_close((uv_handle_t *)&e->on_term, NULL);
 	uv_close((uv_handle_t *)&e->on_int, NULL);
 	httpd_close(e->httpd);
-	for (i = nparts; i > 0; i--) {
+	for (i = nmodules; i > 0; i--) {
 		if (modules[i - 1]->close != NULL)
 			modules[i - 1]->close(e);
 	}
@@ -252,7 +252,7 @@
 		serve_metrics(r);
 		return;
 	}
-	for (i = 0; i < nparts; i++) {
+	for (i = 0; i < nmodules; i++) {
 		if (modules[i]->http != NULL && modules[i]->http(e, r))
 			return;
 	}
--- a/lagoonpind/mesh.c
+++ b/lagoonpind/mesh.c
@@ -50,7 +50,7 @@
     struct entry *, const struct wire_header *, const void *, size_t, void *);
 static void pass_config(struct mesh *, const struct member_record *);
 
-const struct module mesh_part = {
+const struct module mesh_module = {
 	.name = "mesh",
 	.open = mesh_open,
 	.tick = mesh_tick,
@@ -202,8 +202,8 @@
 {
 	size_t i;
 
-	for (i = 0; i < nparts; i++) {
-		if (modules[i] != &mesh_part && modules[i]->drained != NULL &&
+	for (i = 0; i < nmodules; i++) {
+		if (modules[i] != &mesh_module && modules[i]->drained != NULL &&
 		    !modules[i]->drained(e))
 			return false;
 	}
--- a/lagoonpind/mesh.h
+++ b/lagoonpind/mesh.h
@@ -12,7 +12,7 @@
 	REGISTRY_NONE, /* no lease */
 	REGISTRY_BUSY, /* a call to the store is under way */
 	REGISTRY_LEASED, /* a lease, but the key isn't known to be written */
-	REGISTRY_HELD /* the key is written under the lease */
+	REGISTRY_WRITTEN /* the key is written under the lease */
 };
 
 struct registry {
@@ -25,7 +25,7 @@
 	bool revoking;
 };
 
-struct mesh_slot {
+struct mesh_handler_entry {
 	mesh_handler *handler;
 	void *ctx;
 };
@@ -34,7 +34,7 @@
 	struct entry *entry;
 	struct members *members;
 	struct peer *peer;
-	struct mesh_slot slots[WIRE_TYPE_END];
+	struct mesh_handler_entry slots[WIRE_TYPE_END];
 	struct registry registry;
 	uint64_t sequence;
 	int64_t next_ms;
--- a/lagoonpind/operators.c
+++ b/lagoonpind/operators.c
@@ -40,7 +40,7 @@
 /* Paths under /v1/, by kind. */
 static const char *const collections[] = { "services", "teams", "policy" };
 
-const struct module operators_part = {
+const struct module operators_module = {
 	.name = "operators",
 	.open = operators_open,
 	.tick = operators_tick,
@@ -396,7 +396,7 @@
 	if ((id = strchr(text, separator)) != NULL &&
 	    (size_t)(id - text) < sizeof(kind))
 		kind[id - text] = '\0';
-	for (i = 0; id != NULL && i < nparts; i++) {
+	for (i = 0; id != NULL && i < nmodules; i++) {
 		if (modules[i]->explain != NULL &&
 		    modules[i]->explain(e, r, kind, id + 1))
 			return;
--- a/lagoonpind/owners.c
+++ b/lagoonpind/owners.c
@@ -69,7 +69,7 @@
 }
 
 void
-owners_tell_abandoned(struct entry *e)
+owners_report_abandoned(struct entry *e)
 {
 	send_by_owner(e, WIRE_ABANDONED, &e->lend->abandoned);
 }
@@ -121,7 +121,7 @@
 }
 
 void
-owners_state_held(struct entry *e)
+owners_report_held(struct entry *e)
 {
 	static struct wire_transfers all;
 	const struct credit_worker *row;
--- a/lagoonpind/parts.c
+++ b/lagoonpind/parts.c
@@ -1,12 +1,12 @@
 #include "lagoonpind.h"
 
 const struct module *const modules[] = {
-	&vms_part,
-	&conf_watch_part,
-	&mesh_part,
-	&lend_part,
-	&batch_part,
-	&callers_part,
-	&operators_part,
+	&vms_module,
+	&conf_watch_module,
+	&mesh_module,
+	&lend_module,
+	&batch_module,
+	&callers_module,
+	&operators_module,
 };
-const size_t nparts = sizeof(modules) / sizeof(modules[0]);
+const size_t nmodules = sizeof(modules) / sizeof(modules[0]);
--- a/lagoonpind/registry.c
+++ b/lagoonpind/registry.c
@@ -119,7 +119,7 @@
 	struct mesh *mesh = ctx;
 	struct registry *r = &mesh->registry;
 
-	r->step = REGISTRY_HELD;
+	r->step = REGISTRY_WRITTEN;
 	if (result->error == STORE_OK)
 		return;
 	counter_reason(
@@ -218,7 +218,7 @@
 	}
 	if (result->succeeded) {
 		r->key_revision = result->revision;
-		r->step = REGISTRY_HELD;
+		r->step = REGISTRY_WRITTEN;
 		r->next_ms = clock_now_ms() +
 		    mesh->entry->opt.registry_ttl_s * 1000 / RENEWALS_PER_LEASE;
 		log_info("registered", "lease=%lld", (long long)r->lease);
@@ -359,7 +359,7 @@
 	if (revision < r->key_revision)
 		return;
 	r->key_revision = 0;
-	if (r->step == REGISTRY_HELD)
+	if (r->step == REGISTRY_WRITTEN)
 		r->step = REGISTRY_NONE;
 	r->next_ms = 0;
 }
--- a/lagoonpind/vms.c
+++ b/lagoonpind/vms.c
@@ -27,7 +27,7 @@
 static void apply_list(struct entry *, const char *, size_t);
 static void on_change(struct vm *, enum fleet_change, void *);
 
-const struct module vms_part = {
+const struct module vms_module = {
 	.name = "vms",
 	.open = vms_open,
 	.tick = vms_tick,
@@ -129,7 +129,7 @@
 	e = ctx;
 	log_info("vm_changed", "vm=%s state=%s change=%d", v->info.id,
 	    vm_state_name(v->info.state), (int)change);
-	for (i = 0; i < nparts; i++) {
+	for (i = 0; i < nmodules; i++) {
 		if (modules[i]->vm_changed != NULL)
 			modules[i]->vm_changed(e, v, change);
 	}
--- a/tests/test_callers.cc
+++ b/tests/test_callers.cc
@@ -11,9 +11,9 @@
 extern "C" {
 #include "lagoonpind/callers.h"
 
-const struct module *const modules[] = { &vms_part, &conf_watch_part,
-	&callers_part };
-const size_t nparts = 3;
+const struct module *const modules[] = { &vms_module, &conf_watch_module,
+	&callers_module };
+const size_t nmodules = 3;
 
 struct members *
 mesh_members(const struct entry *)
@@ -214,7 +214,7 @@
 		d.body_max = 1 << 20;
 		d.ctx = &e;
 		d.handler = [](httpd_request *r, void *ctx) {
-			callers_part.http(static_cast<entry *>(ctx), r);
+			callers_module.http(static_cast<entry *>(ctx), r);
 		};
 		e.httpd = httpd_open(&d, &error);
 		entry_port = httpd_port(e.httpd);
@@ -273,9 +273,9 @@
 		httpd_close(e.httpd);
 		for (auto &ep : endpoints)
 			httpd_close(ep->server);
-		callers_part.close(&e);
-		conf_watch_part.close(&e);
-		vms_part.close(&e);
+		callers_module.close(&e);
+		conf_watch_module.close(&e);
+		vms_module.close(&e);
 		httpc_close(e.endpoint_http);
 		store_close(store_);
 		store_ = nullptr;
@@ -290,8 +290,8 @@
 	{
 		KvstandTest::turn();
 		uv_run(&e.loop, UV_RUN_NOWAIT);
-		conf_watch_part.tick(&e, clock_now_ms());
-		callers_part.tick(&e, clock_now_ms());
+		conf_watch_module.tick(&e, clock_now_ms());
+		callers_module.tick(&e, clock_now_ms());
 	}
 
 	Reply &
@@ -578,13 +578,13 @@
 	EXPECT_EQ(runs(), 2);
 	e.phase = ENTRY_DRAINING;
 	e.drain_since_ms = clock_now_ms();
-	callers_part.drain(&e, clock_now_ms());
-	EXPECT_FALSE(callers_part.drained(&e));
+	callers_module.drain(&e, clock_now_ms());
+	EXPECT_FALSE(callers_module.drained(&e));
 	clock_advance(e.opt.drain_ms / 2);
 	until([&] { return r.over; });
 	EXPECT_EQ(r.error, HTTPC_OK);
 	EXPECT_EQ(r.body, "{}\n{}\n" CALL_REOPEN_LINE);
-	until([&] { return callers_part.drained(&e); });
+	until([&] { return callers_module.drained(&e); });
 }
 
 /* A planned stop while a call is in flight and another one is queued: both
@@ -599,14 +599,14 @@
 	until([&] { return counted("lagoonpin_calls_queued", "") == 1; });
 	e.phase = ENTRY_DRAINING;
 	e.drain_since_ms = clock_now_ms();
-	callers_part.drain(&e, clock_now_ms());
+	callers_module.drain(&e, clock_now_ms());
 	for (int i = 0; i < 100; i++)
 		turn();
-	EXPECT_FALSE(callers_part.drained(&e));
+	EXPECT_FALSE(callers_module.drained(&e));
 	holder()->reply(holder()->held, "whole");
 	until([&] { return first.over && second.over; });
 	EXPECT_EQ(first.body + second.body, "wholewhole");
-	until([&] { return callers_part.drained(&e); });
+	until([&] { return callers_module.drained(&e); });
 }
 
 /* The next call on a connection that was open before the stop. */
@@ -616,7 +616,7 @@
 	expect(call({ IDEMPOTENT }), 200, "answered", "complete");
 	e.phase = ENTRY_DRAINING;
 	e.drain_since_ms = clock_now_ms();
-	callers_part.drain(&e, clock_now_ms());
+	callers_module.drain(&e, clock_now_ms());
 	Reply &late = call({ IDEMPOTENT });
 	expect(late, 503, "not-run", "stopping");
 	EXPECT_EQ(late.retry_after, "1");
--- a/tests/test_operators.cc
+++ b/tests/test_operators.cc
@@ -15,8 +15,8 @@
 #include "kvstand/gateway.h"
 #include "lagoonpind/lagoonpind.h"
 
-const struct module *const modules[] = { &conf_watch_part, &operators_part };
-const size_t nparts = 2;
+const struct module *const modules[] = { &conf_watch_module, &operators_module };
+const size_t nmodules = 2;
 }
 
 namespace {
@@ -63,7 +63,7 @@
 {
 	struct entry *e = static_cast<struct entry *>(ctx);
 
-	if (!operators_part.http(e, r))
+	if (!operators_module.http(e, r))
 		reply_error(r, 404, "unknown_path", nullptr, "");
 }
 
@@ -150,8 +150,8 @@
 		for (struct node &n : nodes) {
 			n.e.phase = ENTRY_CLOSING;
 			httpd_close(n.httpd);
-			operators_part.close(&n.e);
-			conf_watch_part.close(&n.e);
+			operators_module.close(&n.e);
+			conf_watch_module.close(&n.e);
 			store_close(n.e.store);
 			httpc_close(n.e.store_http);
 		}
