--- a/lagoonpind/batch.h
+++ b/lagoonpind/batch.h
@@ -164,7 +164,8 @@
 /* Close a lost ledger and what goes with it. */
 void own_close(struct batch_shard *, int64_t now_ms);
 /* The live entries' ids, this one included; returns how many. */
-size_t own_live_entries(struct batch *, const char **ids, size_t max, int64_t now_ms);
+size_t own_live_entries(
+    struct batch *, const char **ids, size_t max, int64_t now_ms);
 
 /* task_write.c: the store side of ledger_actions. */
 void write_ledger(struct ledger *, void *ctx);
--- a/lagoonpind/call_claim.c
+++ b/lagoonpind/call_claim.c
@@ -11,8 +11,8 @@
 #define AGE_MAX_MS 60000 /* half a day less than any record's lease */
 
 static struct call *call_of(struct claim *);
-static void ask(
-    struct claim *, struct callers *, enum claim_queue_kind, enum claim_op_kind, int64_t);
+static void ask(struct claim *, struct callers *, enum claim_queue_kind,
+    enum claim_op_kind, int64_t);
 static void do_create(struct claim *, void *);
 static void do_replace(struct claim *, int64_t, void *);
 static void do_read(struct claim *, void *);
--- a/lagoonpind/callers.h
+++ b/lagoonpind/callers.h
@@ -250,7 +250,8 @@
 void call_count_retry(struct callers *, enum outcome_reason);
 
 /* callers.c */
-void callers_schedule_pass(struct callers *); /* run a pass before the loop sleeps */
+void callers_schedule_pass(
+    struct callers *); /* run a pass before the loop sleeps */
 void call_free_if_ended(struct call *);
 
 /* call_service.c */
--- a/lagoonpind/claim_answer.c
+++ b/lagoonpind/claim_answer.c
@@ -179,7 +179,8 @@
 }
 
 void
-claim_op_failed(struct claim_queue *q, struct claim_op *op, enum store_error error)
+claim_op_failed(
+    struct claim_queue *q, struct claim_op *op, enum store_error error)
 {
 	bool applied;
 
--- a/lagoonpind/claim_store.c
+++ b/lagoonpind/claim_store.c
@@ -100,8 +100,8 @@
 }
 
 struct claim_op *
-claim_op_new(struct claim_store *s, enum claim_queue_kind queue, enum claim_op_kind kind,
-    const struct claim *c, enum claim_mark mark)
+claim_op_new(struct claim_store *s, enum claim_queue_kind queue,
+    enum claim_op_kind kind, const struct claim *c, enum claim_mark mark)
 {
 	struct claim_queue *q;
 	struct claim_op *op;
--- a/lagoonpind/task_evict.c
+++ b/lagoonpind/task_evict.c
@@ -232,8 +232,8 @@
 }
 
 void
-evict_on_measurement(struct batch_shard *s, struct ledger_worker *w, const char *name,
-    double p99_ms, int64_t measured_ms, int64_t now_ms)
+evict_on_measurement(struct batch_shard *s, struct ledger_worker *w,
+    const char *name, double p99_ms, int64_t measured_ms, int64_t now_ms)
 {
 	struct evict_task views[TASKS_MAX];
 	struct ledger_task *tasks[TASKS_MAX];
--- a/lagoonpind/task_start.c
+++ b/lagoonpind/task_start.c
@@ -99,8 +99,8 @@
 	log_warn("task_stray",
 	    "task=%s attempt=%u worker=%s shard=%s epoch=%llu", task, attempt,
 	    w->id, s->name, (unsigned long long)l->epoch);
-	call_worker(
-	    s, WORKER_STOP_STRAY, w, task, attempt, json_object(), TASK_TIMEOUT_MS);
+	call_worker(s, WORKER_STOP_STRAY, w, task, attempt, json_object(),
+	    TASK_TIMEOUT_MS);
 }
 
 static void
@@ -157,7 +157,8 @@
 		ledger_stop_answered(
 		    s->ledger, c->task, c->attempt, result, now_ms);
 		if (result == RESULT_OK)
-			finish_attempt(s, c->worker, c->task, c->attempt, now_ms);
+			finish_attempt(
+			    s, c->worker, c->task, c->attempt, now_ms);
 		break;
 	case WORKER_CHECKPOINT:
 		on_checkpointed(s, c, result, body, now_ms);
--- a/tests/test_operators.cc
+++ b/tests/test_operators.cc
@@ -15,7 +15,8 @@
 #include "kvstand/gateway.h"
 #include "lagoonpind/lagoonpind.h"
 
-const struct module *const modules[] = { &conf_watch_module, &operators_module };
+const struct module *const modules[] = { &conf_watch_module,
+	&operators_module };
 const size_t nmodules = 2;
 }
 
