--- a/lagoonpind/borrow.c
+++ b/lagoonpind/borrow.c
@@ -4,27 +4,28 @@
 #include "counter.h"
 #include "lend.h"
 
-/* Lending of credits between entries, by demand: asking and granting. */
+/* Lending of credits between entries on demand: requests and grants. */
 
-#define ANSWER_MS 100 /* a request not answered by then is lost */
-#define LOOK_MS 10 /* between two looks for a peer, when calls queue up */
-#define WAITING_MS 200 /* how long calls count that were told to wait */
+#define RESPONSE_TIMEOUT_MS 100 /* of a request to a peer */
+/* Minimum interval between selections of a peer for the same demand. */
+#define REQUEST_INTERVAL_MS 10
+#define WAITING_MAX_MS 200 /* how long a report of waiting calls is valid */
 
 static bool serves(const struct credit_worker *, const char *, void *);
 static struct lend_demand *demand_of(
     struct lend *, const char *, enum credit_kind);
-static int waiting_for(struct lend *, const char *, int64_t);
+static int waiting_calls(struct lend *, const char *, int64_t);
 static struct lending_load own_load(struct entry *, const char *, int64_t);
 static int offer_of(const struct member *, const struct wire_want *, int64_t);
 static const struct member *best_peer(
     struct entry *, const struct wire_want *, int64_t);
 static bool send_want(struct entry *, const char *, const struct wire_want *);
-static bool ask(struct entry *, struct lend_demand *, int64_t);
+static bool request_credits(struct entry *, struct lend_demand *, int64_t);
 static struct credit_amount offer_for(
     struct entry *, const struct wire_want *, int64_t);
 static void on_want(
     struct entry *, const struct wire_header *, const void *, size_t, void *);
-static void answered(
+static void on_response(
     struct entry *, const struct wire_header *, const struct wire_transfers *);
 static void on_credits(
     struct entry *, const struct wire_header *, const void *, size_t, void *);
@@ -68,15 +69,16 @@
 	return d;
 }
 
-/* Calls that waited here a moment ago. */
+/* Calls of the service that wait here, by the last recent report. */
 static int
-waiting_for(struct lend *lend, const char *service, int64_t now_ms)
+waiting_calls(struct lend *lend, const char *service, int64_t now_ms)
 {
 	struct lend_demand *d;
 
 	d = demand_of(lend, service, CREDIT_CALL);
-	return d == NULL || now_ms - d->reported_ms > WAITING_MS ? 0 :
-								   d->waiting;
+	return d == NULL || now_ms - d->reported_ms > WAITING_MAX_MS ?
+	    0 :
+	    d->waiting;
 }
 
 static struct lending_load
@@ -85,12 +87,12 @@
 	struct lending_load load;
 
 	load = lending_load_of(e->lend->table, serves, service, e);
-	load.needed =
-	    lending_needed(load.needed, waiting_for(e->lend, service, now_ms));
+	load.needed = lending_needed(
+	    load.needed, waiting_calls(e->lend, service, now_ms));
 	return load;
 }
 
-/* What a peer may have to offer, by what it last told. */
+/* Estimates a peer's offer from the load it last reported. */
 static int
 offer_of(
     const struct member *member, const struct wire_want *want, int64_t now_ms)
@@ -104,7 +106,11 @@
 	return lending_estimate(load, now_ms - member->load_ms, want->load);
 }
 
-/* The living peer that may offer most, a far one only for much more. */
+/*
+ * The live peer with the largest estimated offer.  A peer in another data
+ * centre is chosen only if the local ones can't meet the request and its offer
+ * is more than twice theirs.
+ */
 static const struct member *
 best_peer(struct entry *e, const struct wire_want *want, int64_t now_ms)
 {
@@ -122,7 +128,7 @@
 			    .state != MEMBER_ALIVE)
 			continue;
 		equals[near] = offer == offers[near] ? equals[near] + 1 : 1;
-		/* Any of several equals, lest all entries ask the same one. */
+		/* Random among equals: entries choose different ones. */
 		if (gsl_rng_uniform_int(
 			e->lend->rng, (unsigned long)equals[near]) != 0)
 			continue;
@@ -151,20 +157,20 @@
 }
 
 /*
- * One request at a time: several with the same load would each bring a fair
- * share, and the credits would slosh from entry to entry.
+ * One request at a time: several requests with the same load would each be
+ * granted a fair share, and credits would oscillate between entries.
  */
 static bool
-ask(struct entry *e, struct lend_demand *d, int64_t now_ms)
+request_credits(struct entry *e, struct lend_demand *d, int64_t now_ms)
 {
 	const struct member *peer;
 	struct wire_want want;
 
-	if (d->asked_ms != 0 && now_ms - d->asked_ms < ANSWER_MS)
+	if (d->asked_ms != 0 && now_ms - d->asked_ms < RESPONSE_TIMEOUT_MS)
 		return true;
 	if (now_ms < d->next_ask_ms)
 		return false;
-	d->next_ask_ms = now_ms + LOOK_MS;
+	d->next_ask_ms = now_ms + REQUEST_INTERVAL_MS;
 	memset(&want, 0, sizeof(want));
 	strlcpy(want.service, d->service, sizeof(want.service));
 	if (d->kind == CREDIT_CALL) {
@@ -182,7 +188,7 @@
 		return false;
 	}
 	if (!send_want(e, peer->record.id, &want)) {
-		/* Not reachable: ask another until it is heard of again. */
+		/* Unreachable: assume no offer until it reports its load. */
 		member_set_load(mesh_members(e), peer->record.id, 0, 0, now_ms);
 		return false;
 	}
@@ -203,7 +209,7 @@
 		return false;
 	d->waiting = waiting;
 	d->reported_ms = now_ms;
-	return ask(e, d, now_ms);
+	return request_credits(e, d, now_ms);
 }
 
 struct lending_load
@@ -227,7 +233,7 @@
 	now_ms = clock_now_ms();
 	for (i = 0; i < e->lend->ndemands; i++) {
 		if (e->lend->demands[i].kind == CREDIT_CALL)
-			waiting += waiting_for(
+			waiting += waiting_calls(
 			    e->lend, e->lend->demands[i].service, now_ms);
 	}
 	load.needed = lending_needed(load.needed, waiting);
@@ -248,7 +254,7 @@
 	return sent;
 }
 
-/* What goes to a peer that asked, out of what is spare. */
+/* The amount to grant to a peer from the spare credits. */
 static struct credit_amount
 offer_for(struct entry *e, const struct wire_want *want, int64_t now_ms)
 {
@@ -262,16 +268,16 @@
 	load = lending_load_of(e->lend->table, serves, want->service, e);
 	spare = load.held - load.needed;
 	load.needed = lending_needed(
-	    load.needed, waiting_for(e->lend, want->service, now_ms));
+	    load.needed, waiting_calls(e->lend, want->service, now_ms));
 	amount.slots = lending_offer(load, want->load, spare, amount.slots);
 	amount.connections = amount.slots;
 	return amount;
 }
 
 /*
- * The credits leave the book before the message leaves the process.  If it
- * certainly didn't leave they come back, in any other case never.  Nothing to
- * give is an answer too, with this entry's load: the peer asks elsewhere.
+ * Credits are deducted from the table before the message is sent.  They are
+ * restored only if it was certainly not sent.  A grant of nothing is sent as
+ * well, with this entry's load, so that the peer asks another one.
  */
 static void
 on_want(struct entry *e, const struct wire_header *header, const void *payload,
@@ -287,7 +293,7 @@
 	(void)ctx;
 	if (wire_decode_want(payload, len, &want) != WIRE_OK)
 		return;
-	/* Sent to the incarnation known here, credits would be lost. */
+	/* Credits sent to another incarnation than the sender's are lost. */
 	member = member_find(mesh_members(e), header->from);
 	if (member == NULL ||
 	    member->record.incarnation != header->incarnation) {
@@ -318,9 +324,9 @@
 		credit_give_cancel(e->lend->table, header->from, &out.items[i]);
 }
 
-/* An answer; if calls still wait here, ask the next peer. */
+/* Response to a request; if calls still wait, ask another peer. */
 static void
-answered(struct entry *e, const struct wire_header *header,
+on_response(struct entry *e, const struct wire_header *header,
     const struct wire_transfers *in)
 {
 	struct lend_demand *d;
@@ -341,9 +347,10 @@
 			    in->items[k].amount.connections;
 		if (d->waiting < 0)
 			d->waiting = 0;
-		if (d->waiting > 0 && now_ms - d->reported_ms <= WAITING_MS) {
+		if (d->waiting > 0 &&
+		    now_ms - d->reported_ms <= WAITING_MAX_MS) {
 			d->next_ask_ms = 0;
-			ask(e, d, now_ms);
+			request_credits(e, d, now_ms);
 		}
 	}
 }
@@ -376,5 +383,5 @@
 				"reason=\"old_epoch\""),
 		    stale);
 	if (in.service[0] != '\0')
-		answered(e, header, &in);
+		on_response(e, header, &in);
 }
--- a/lagoonpind/call_admit.c
+++ b/lagoonpind/call_admit.c
@@ -2,29 +2,29 @@
 #include "clock.h"
 
 /*
- * Second filter: the call is queued, or refused at once with the time at
- * which coming back helps.
+ * Admission: queues the call, or refuses it immediately with a retry-after
+ * time.
  */
 
-static enum outcome_reason reason_of(enum admit_verdict);
-static bool answer_kept(struct call *);
+static enum outcome_reason refusal_reason(enum admit_verdict);
+static bool answer_from_cache(struct call *);
 
-/* A repeat whose answer is still here needs no endpoint and no claim. */
+/* Answers a repeated non-idempotent call from the response cache. */
 static bool
-answer_kept(struct call *c)
+answer_from_cache(struct call *c)
 {
-	struct cached_response kept;
+	struct cached_response cached;
 
 	if (c->idempotent ||
 	    response_cache_get(c->callers->responses, c->id, c->hash,
-		c->arrived_ms, &kept) != 0)
+		c->arrived_ms, &cached) != 0)
 		return false;
-	call_answer(c, &kept, OUTCOME_KEPT_ANSWER);
+	call_answer(c, &cached, OUTCOME_KEPT_ANSWER);
 	return true;
 }
 
 static enum outcome_reason
-reason_of(enum admit_verdict verdict)
+refusal_reason(enum admit_verdict verdict)
 {
 	switch (verdict) {
 	case ADMIT_STOPPING:
@@ -48,12 +48,12 @@
 	enum admit_verdict verdict;
 	int64_t retry_after_ms;
 
-	if (answer_kept(c))
+	if (answer_from_cache(c))
 		return;
 	verdict = admit_offer(c->service->lanes[c->lane].admit, &c->item,
 	    clock_now_ms(), &retry_after_ms);
 	if (verdict != ADMIT_ACCEPTED) {
-		call_refuse(c, reason_of(verdict), retry_after_ms);
+		call_refuse(c, refusal_reason(verdict), retry_after_ms);
 		return;
 	}
 	callers_schedule_pass(c->callers);
--- a/lagoonpind/call_answer.c
+++ b/lagoonpind/call_answer.c
@@ -7,8 +7,8 @@
 #include "log.h"
 
 /*
- * Last filter: the caller is told the outcome, its reason and when to come
- * back; it is counted, logged and remembered for "why".
+ * Responses: reports the outcome, its reason and a retry-after time to the
+ * client, and counts, logs and records the call for /v1/explain.
  */
 
 #define HEADERS_MAX 6
@@ -19,8 +19,8 @@
 static void count_reason(
     struct callers *, enum call_counted, enum outcome_reason);
 static struct counter *reason_counter(const char *, enum outcome_reason);
-static void count(struct callers *, const struct outcome_answer *);
-static void tell(struct httpd_request *, const char *, const char *,
+static void count_outcome(struct callers *, const struct outcome_answer *);
+static void send_error(struct httpd_request *, const char *, const char *,
     const struct outcome_answer *);
 static void settle_claim(struct call *);
 static size_t fill_headers(const char *, const struct outcome_answer *,
@@ -39,7 +39,7 @@
 	return counter_get(name, labels);
 }
 
-/* Made on first use, so that what never happened isn't listed as zero. */
+/* Creates the counter on first use: unused ones aren't exported as zero. */
 static void
 count_reason(
     struct callers *cs, enum call_counted kind, enum outcome_reason reason)
@@ -53,7 +53,7 @@
 }
 
 static void
-count(struct callers *cs, const struct outcome_answer *a)
+count_outcome(struct callers *cs, const struct outcome_answer *a)
 {
 	char labels[LABELS_MAX];
 
@@ -98,9 +98,9 @@
 	return n;
 }
 
-/* An answer of ours; id and detail hold no character that JSON escapes. */
+/* Sends an error response; id and detail need no JSON escapes. */
 static void
-tell(struct httpd_request *r, const char *id, const char *detail,
+send_error(struct httpd_request *r, const char *id, const char *detail,
     const struct outcome_answer *a)
 {
 	struct httpd_header headers[HEADERS_MAX];
@@ -125,10 +125,10 @@
 	struct outcome_answer a;
 
 	a = outcome_derive(facts, reason, 0);
-	count(cs, &a);
+	count_outcome(cs, &a);
 	log_debug("call_refused", "request=%s reason=%s detail=%s",
 	    id[0] != '\0' ? id : "-", outcome_reason_name(reason), detail);
-	tell(r, id, detail, &a);
+	send_error(r, id, detail, &a);
 }
 
 static void
@@ -140,7 +140,7 @@
 	claim_finish(&c->claim, outcome_may_have_run(&c->facts));
 }
 
-/* The caller has its answer, or is gone. */
+/* The response has been sent, or the client has disconnected. */
 void
 call_answer_finish(struct call *c, const struct outcome_answer *a)
 {
@@ -148,7 +148,7 @@
 
 	call_hedge_disarm(c);
 	took_ms = (double)(uv_hrtime() - c->arrived_ns) / NS_PER_MS;
-	count(c->callers, a);
+	count_outcome(c->callers, a);
 	explain_end(c, a);
 	if (a->outcome == OUTCOME_ANSWERED && c->lane == LANE_UNARY)
 		latency_observe(c->service->latency, took_ms);
@@ -166,15 +166,15 @@
 }
 
 /*
- * Give up.  The outcome follows from what is known of the attempts, whatever
- * the reason.
+ * Fails the call.  The outcome is derived from the state of its attempts,
+ * independently of the reason.
  */
 void
 call_refuse(struct call *c, enum outcome_reason reason, int64_t retry_after_ms)
 {
 	struct outcome_answer a;
 
-	/* The answer has begun: it can only be ended or cut. */
+	/* The response has begun and can only be ended or cut. */
 	if (c->head_sent && c->request != NULL) {
 		call_watch_close(c);
 		return;
@@ -183,7 +183,7 @@
 	admit_cancel(&c->item);
 	settle_claim(c);
 	if (c->request != NULL)
-		tell(c->request, c->id, c->service->name, &a);
+		send_error(c->request, c->id, c->service->name, &a);
 	call_watch_cancel(c, &a);
 }
 
@@ -235,7 +235,7 @@
 	call_answer_finish(c, &a);
 }
 
-/* What the caller has must not look like the whole answer. */
+/* Aborts the connection, so that the response can't be taken as complete. */
 void
 call_answer_cut(struct call *c)
 {
--- a/lagoonpind/call_choose.c
+++ b/lagoonpind/call_choose.c
@@ -2,13 +2,13 @@
 #include "clock.h"
 
 /*
- * Third filter: admission lets the call go, and it takes a credit of one of
- * a few endpoints drawn at random.
+ * Choice of an endpoint: a call dequeued by admission takes a credit of the
+ * best of a few endpoints drawn at random.
  */
 
 static int excluded(const struct call *);
 
-/* Where the last attempt failed, as an index into the candidates. */
+/* Candidate index of the endpoint to avoid; -1: none. */
 static int
 excluded(const struct call *c)
 {
@@ -39,7 +39,7 @@
 	r = choose(&cs->choose, c->service->lanes[c->lane].candidates,
 	    c->service->lanes[c->lane].ncandidates, c->service->kind,
 	    cs->data_center, excluded(c), cs->random, now_ms);
-	/* With no other one left, the same endpoint is better than none. */
+	/* Without another candidate, retry the same endpoint. */
 	if (r.index < 0 && c->avoid != NULL && c->facts.open == 0)
 		r = choose(&cs->choose, c->service->lanes[c->lane].candidates,
 		    c->service->lanes[c->lane].ncandidates, c->service->kind,
--- a/lagoonpind/call_claim.c
+++ b/lagoonpind/call_claim.c
@@ -6,12 +6,13 @@
 #include "counter.h"
 #include "log.h"
 
-/* Claims of non-idempotent calls: what core/claim.c asks and decides. */
+/* Claims of non-idempotent calls: the operations of core/claim.c. */
 
-#define AGE_MAX_MS 60000 /* half a day less than any record's lease */
+/* Far below the half day that a claim record's lease lasts at least. */
+#define AGE_MAX_MS 60000
 
 static struct call *call_of(struct claim *);
-static void ask(struct claim *, struct callers *, enum claim_queue_kind,
+static void queue_op(struct claim *, struct callers *, enum claim_queue_kind,
     enum claim_op_kind, int64_t);
 static void do_create(struct claim *, void *);
 static void do_replace(struct claim *, int64_t, void *);
@@ -59,13 +60,13 @@
 	call_refuse(c, OUTCOME_BAD_REQUEST_ID, 0);
 }
 
-/* The call is over: whatever the store answers concerns nobody. */
+/* The call has ended: ignore the store's response to its claim. */
 void
 call_claim_forget(struct call *c)
 {
 	struct attempt *a;
 
-	/* Never started: its state reads as creating, with no nonce. */
+	/* Not started: the state reads as CLAIM_CREATING, without a nonce. */
 	if (c->claim.nonce[0] == '\0')
 		return;
 	claim_abandon(&c->claim);
@@ -79,16 +80,16 @@
 }
 
 static void
-ask(struct claim *c, struct callers *cs, enum claim_queue_kind queue,
+queue_op(struct claim *c, struct callers *cs, enum claim_queue_kind queue,
     enum claim_op_kind kind, int64_t revision)
 {
 	struct claim_op *op;
 
 	op = claim_op_new(cs->claim_store, queue, kind, c, CLAIM_MARK_OPEN);
 	if (op == NULL) {
-		/* The deadline ends the call: no memory, no answer. */
+		/* The call ends at its deadline. */
 		log_error(
-		    "claim_lost", "request=%s reason=\"no memory\"", c->id);
+		    "claim_lost", "request=%s reason=\"out of memory\"", c->id);
 		return;
 	}
 	op->revision = revision;
@@ -100,19 +101,19 @@
 static void
 do_create(struct claim *c, void *ctx)
 {
-	ask(c, ctx, QUEUE_WRITE, OP_CREATE, 0);
+	queue_op(c, ctx, QUEUE_WRITE, OP_CREATE, 0);
 }
 
 static void
 do_replace(struct claim *c, int64_t revision, void *ctx)
 {
-	ask(c, ctx, QUEUE_WRITE, OP_REPLACE, revision);
+	queue_op(c, ctx, QUEUE_WRITE, OP_REPLACE, revision);
 }
 
 static void
 do_read(struct claim *c, void *ctx)
 {
-	ask(c, ctx, QUEUE_READ, OP_READ, 0);
+	queue_op(c, ctx, QUEUE_READ, OP_READ, 0);
 }
 
 static void
@@ -146,7 +147,7 @@
 	call = call_of(c);
 	a = call->claim_attempt;
 	call->claim_attempt = NULL;
-	/* The claim was free: no earlier sending of the id has run. */
+	/* No earlier request with this id has run. */
 	call->facts.repeated = false;
 	call_dispatch(call, a);
 }
@@ -174,7 +175,7 @@
 	    call, call->claim_attempt, outcome_reason_name(reasons[why]), 0);
 	attempt_end(call->claim_attempt, OUTCOME_ATTEMPT_NOT_SENT);
 	call->claim_attempt = NULL;
-	/* The answer to the one that holds the claim may be here by now. */
+	/* The response to the call that holds the claim may be cached. */
 	if (why == CLAIM_REFUSED_DUPLICATE &&
 	    response_cache_get(cs->responses, call->id, call->hash,
 		clock_now_ms(), &kept) == 0) {
--- a/lagoonpind/call_collect.c
+++ b/lagoonpind/call_collect.c
@@ -8,9 +8,9 @@
 #include "log.h"
 
 /*
- * Fifth filter: what comes back.  An answer is matched by request id and
- * attempt.  A complete one ends the call; any other end of an attempt is
- * tried again elsewhere where that is allowed.
+ * Collection of responses.  A response is matched by request id and attempt
+ * number.  A complete one ends the call; after any other end of an attempt
+ * the call is retried if allowed.
  */
 
 #define NS_PER_MS 1e6
@@ -21,17 +21,17 @@
 static void on_done(const struct httpc_result *, void *);
 static bool matches(const struct attempt *, struct httpc_call *);
 static void complete(struct attempt *, const struct httpc_result *);
-static void late_answer(struct attempt *, const struct httpc_result *);
-static void keep(const struct call *, const struct cached_response *);
+static void late_response(struct attempt *, const struct httpc_result *);
+static void cache_response(const struct call *, const struct cached_response *);
 static void observe(const struct attempt *);
-static struct cached_response answer_of(const struct httpc_result *);
+static struct cached_response response_of(const struct httpc_result *);
 static void refused(struct attempt *, const char *);
 static enum outcome_reason failure_of(enum httpc_error);
 static bool may_retry(struct call *, enum outcome_attempt);
 
 /*
- * The connection may have taken long, or the process was paused meanwhile:
- * the claim could have lapsed and the id run elsewhere.
+ * Called before the request is sent.  After a slow connect or a pause of the
+ * process the claim may have expired, and the id may have run elsewhere.
  */
 static bool
 may_send(void *ctx)
@@ -62,7 +62,7 @@
 		    a, OUTCOME_ATTEMPT_NOT_SENT, OUTCOME_NO_MEMORY);
 }
 
-/* A kept connection could bring the answer to an earlier request. */
+/* A persistent connection could deliver the response to an old request. */
 static bool
 matches(const struct attempt *a, struct httpc_call *http)
 {
@@ -117,7 +117,7 @@
 		call_collect_failed(
 		    a, OUTCOME_ATTEMPT_UNKNOWN, OUTCOME_ANSWER_MISMATCH);
 	else if (r->error == HTTPC_OK && a->call->answered)
-		late_answer(a, r);
+		late_response(a, r);
 	else if (r->error == HTTPC_OK && a->call->head_sent)
 		call_collect_failed(
 		    a, OUTCOME_ATTEMPT_UNKNOWN, OUTCOME_ANSWER_CUT);
@@ -168,7 +168,7 @@
 }
 
 static void
-keep(const struct call *c, const struct cached_response *answer)
+cache_response(const struct call *c, const struct cached_response *answer)
 {
 	if (c->idempotent)
 		return;
@@ -177,7 +177,7 @@
 }
 
 static struct cached_response
-answer_of(const struct httpc_result *r)
+response_of(const struct httpc_result *r)
 {
 	struct cached_response answer;
 
@@ -197,22 +197,22 @@
 	struct call *c;
 
 	c = a->call;
-	answer = answer_of(r);
+	answer = response_of(r);
 	observe(a);
 	outcome_ended(&c->facts, OUTCOME_ATTEMPT_COMPLETE);
 	budget_success(&c->service->budget, clock_now_ms());
-	keep(c, &answer);
+	cache_response(c, &answer);
 	admit_finish(&c->item, true, clock_now_ms());
 	attempt_end(a, OUTCOME_ATTEMPT_COMPLETE);
 	call_answer(c, &answer, OUTCOME_COMPLETE);
 }
 
 /*
- * The call was given up on and its caller told so: the answer goes nowhere,
- * but for a repeat of a non-idempotent one.
+ * The call has already been answered.  The response is discarded, except that
+ * it is cached for a repeat of a non-idempotent call.
  */
 static void
-late_answer(struct attempt *a, const struct httpc_result *r)
+late_response(struct attempt *a, const struct httpc_result *r)
 {
 	struct cached_response answer;
 	struct call *c;
@@ -221,13 +221,13 @@
 	counter_inc("lagoonpin_call_late_answers", "");
 	observe(a);
 	outcome_ended(&c->facts, OUTCOME_ATTEMPT_COMPLETE);
-	answer = answer_of(r);
-	keep(c, &answer);
+	answer = response_of(r);
+	cache_response(c, &answer);
 	attempt_end(a, OUTCOME_ATTEMPT_COMPLETE);
 	call_free_if_ended(c);
 }
 
-/* The endpoint says that it hasn't run it and won't. */
+/* The endpoint refused the request: it has not run and will not. */
 static void
 refused(struct attempt *a, const char *why)
 {
@@ -255,7 +255,7 @@
 	    !outcome_may_send(&c->facts) || c->tries >= CALL_ATTEMPTS_MAX ||
 	    now_ms >= c->item.deadline_ms)
 		return false;
-	/* What certainly didn't run has cost no endpoint anything. */
+	/* An attempt that certainly did not run needs no retry budget. */
 	if (how != OUTCOME_ATTEMPT_UNKNOWN)
 		return true;
 	verdict = budget_take(&c->service->budget, BUDGET_RETRY, true, now_ms);
@@ -275,7 +275,7 @@
 	outcome_ended(&c->facts, how);
 	c->failure = reason;
 	c->avoid = a->endpoint;
-	/* A watch that we cancelled says nothing about its endpoint. */
+	/* A watch cancelled by this entry is no failure of its endpoint. */
 	if (how != OUTCOME_ATTEMPT_REFUSED &&
 	    !(c->answered && a->lane == LANE_WATCH))
 		choose_failed(&a->endpoint->lanes[a->lane].ce, clock_now_ms());
@@ -285,7 +285,7 @@
 		call_free_if_ended(c);
 		return;
 	}
-	/* The other endpoint of a hedged call may still answer. */
+	/* The other attempt of a hedged call may still succeed. */
 	if (c->facts.open > 0)
 		return;
 	call_hedge_disarm(c);
--- a/lagoonpind/call_credit.c
+++ b/lagoonpind/call_credit.c
@@ -6,24 +6,25 @@
 #include "clock.h"
 
 /*
- * The credits that calls are dispatched on, and for each service the list of
- * endpoints with a free one, from which choose() draws.  Credits change with
- * each call, so the lists are kept by swapping with the last one: O(1).
+ * The credits that calls are dispatched on, and per service the list of
+ * candidates for choose(): the endpoints with a free credit.  Credits change
+ * with each call, so a candidate is removed in O(1) by moving the last one
+ * to its index.
  */
 
-#define NOWHERE CALL_INDEX_NONE
+#define INDEX_NONE CALL_INDEX_NONE
 #define CANDIDATES_MIN 16
 
-static int spare(const struct endpoint *, enum call_lane);
+static int free_credits(const struct endpoint *, enum call_lane);
 static void count_capacity(struct endpoint_member *, enum call_lane, int64_t);
-static void list_as_candidate(
+static void add_candidate(
     struct endpoint_member *, struct endpoint_lane *, enum call_lane);
-static void unlist(struct endpoint_member *, enum call_lane);
+static void remove_candidate(struct endpoint_member *, enum call_lane);
 static void refresh_member(struct endpoint *, struct endpoint_member *, bool);
 static void on_credits(struct entry *, const struct credit_worker *, void *);
 static enum credit_kind credit_kind_of(enum call_lane);
 
-/* Credits may have come before the VM list named the worker. */
+/* Credits may have arrived before the VM list named the worker. */
 void
 endpoint_load_credits(struct endpoint *ep)
 {
@@ -36,9 +37,9 @@
 	}
 }
 
-/* Credits free here.  A quick call takes a connection as well. */
+/* Free credits.  A unary call uses a slot and a connection. */
 static int
-spare(const struct endpoint *ep, enum call_lane lane)
+free_credits(const struct endpoint *ep, enum call_lane lane)
 {
 	if (lane == LANE_WATCH || ep->spare.connections < ep->spare.slots)
 		return ep->spare.connections;
@@ -58,7 +59,7 @@
 }
 
 static void
-list_as_candidate(
+add_candidate(
     struct endpoint_member *m, struct endpoint_lane *el, enum call_lane lane)
 {
 	struct choose_endpoint **grown;
@@ -66,7 +67,7 @@
 	size_t size;
 
 	s = m->service;
-	if (m->candidate_index[lane] != NOWHERE)
+	if (m->candidate_index[lane] != INDEX_NONE)
 		return;
 	if (s->lanes[lane].ncandidates == s->lanes[lane].size) {
 		size = s->lanes[lane].size * 2;
@@ -84,7 +85,7 @@
 }
 
 static void
-unlist(struct endpoint_member *m, enum call_lane lane)
+remove_candidate(struct endpoint_member *m, enum call_lane lane)
 {
 	struct endpoint_lane *moved;
 	struct call_service *s;
@@ -92,9 +93,9 @@
 
 	s = m->service;
 	at = m->candidate_index[lane];
-	if (at == NOWHERE)
+	if (at == INDEX_NONE)
 		return;
-	m->candidate_index[lane] = NOWHERE;
+	m->candidate_index[lane] = INDEX_NONE;
 	last = --s->lanes[lane].ncandidates;
 	if (at == last)
 		return;
@@ -123,9 +124,9 @@
 		count_capacity(
 		    m, lane, is_usable ? el->ce.credits + el->ce.in_flight : 0);
 		if (is_usable && el->ce.credits > 0)
-			list_as_candidate(m, el, lane);
+			add_candidate(m, el, lane);
 		else
-			unlist(m, lane);
+			remove_candidate(m, lane);
 	}
 }
 
@@ -139,7 +140,7 @@
 	is_usable = endpoint_usable(ep, now_ms);
 	for (i = 0; i < NLANES; i++) {
 		ep->lanes[i].ce.leaving = !is_usable;
-		ep->lanes[i].ce.credits = spare(ep, (enum call_lane)i);
+		ep->lanes[i].ce.credits = free_credits(ep, (enum call_lane)i);
 	}
 	for (j = 0; j < ep->nmembers; j++)
 		refresh_member(ep, &ep->members[j], is_usable);
@@ -151,7 +152,7 @@
 	return lane == LANE_WATCH ? CREDIT_WATCH : CREDIT_CALL;
 }
 
-/* A row of the book changed: credits came or went. */
+/* A row of the credit table changed. */
 static void
 on_credits(struct entry *e, const struct credit_worker *row, void *ctx)
 {
@@ -220,7 +221,6 @@
 	return a;
 }
 
-/* Give the credit back and forget the attempt. */
 void
 attempt_end(struct attempt *a, enum outcome_attempt how)
 {
--- a/lagoonpind/call_dispatch.c
+++ b/lagoonpind/call_dispatch.c
@@ -5,14 +5,14 @@
 #include "clock.h"
 
 /*
- * Fourth filter: the call is sent to its endpoint.  A non-idempotent one
- * first claims its id; its credit is held meanwhile, since a claim made
- * before there is a credit would use up the id of a call that never starts.
+ * Dispatch: sends the call to its endpoint.  A non-idempotent call first
+ * claims its id, while it holds the credit: a claim without a credit would use
+ * up the id of a call that may never start.
  */
 
 #define CONNECT_TIMEOUT_MS 1000
-/* How long an answer is waited for after the deadline, to know when the
- * credit is free. */
+/* Wait for a response beyond the deadline, to learn when the endpoint's slot
+ * becomes free. */
 #define LATE_MS 5000
 #define HEADERS_MAX 9
 
@@ -45,7 +45,7 @@
 
 static size_t
 fill_headers(const struct call *c, const struct attempt *a, const char *epoch,
-    const char *left, struct httpc_header *h)
+    const char *remaining, struct httpc_header *h)
 {
 	size_t n;
 
@@ -54,7 +54,7 @@
 	h[n++] = (struct httpc_header){ "lagoonpin-epoch", epoch };
 	h[n++] = (struct httpc_header){ "lagoonpin-request-id", c->id };
 	h[n++] = (struct httpc_header){ "lagoonpin-attempt", a->number_text };
-	h[n++] = (struct httpc_header){ "lagoonpin-deadline-ms", left };
+	h[n++] = (struct httpc_header){ "lagoonpin-deadline-ms", remaining };
 	h[n++] = (struct httpc_header){ "lagoonpin-idempotent",
 		c->idempotent ? "yes" : "no" };
 	if (c->item.team[0] != '\0')
@@ -72,25 +72,26 @@
 {
 	struct httpc_header headers[HEADERS_MAX];
 	struct httpc_request request;
-	char epoch[24], left[24], url[CALL_URL_MAX];
-	int64_t left_ms;
+	char epoch[24], remaining[24], url[CALL_URL_MAX];
+	int64_t remaining_ms;
 
-	left_ms = c->item.deadline_ms - now_ms;
+	remaining_ms = c->item.deadline_ms - now_ms;
 	snprintf(url, sizeof(url), "http://%s/call/%s", a->endpoint->address,
 	    c->service->name);
 	snprintf(epoch, sizeof(epoch), "%llu", (unsigned long long)a->epoch);
-	snprintf(left, sizeof(left), "%lld",
+	snprintf(remaining, sizeof(remaining), "%lld",
 	    (long long)(c->endpoint_deadline_ms - now_ms));
 	memset(&request, 0, sizeof(request));
 	request.method = "POST";
 	request.url = url;
 	request.headers = headers;
-	request.nheaders = fill_headers(c, a, epoch, left, headers);
+	request.nheaders = fill_headers(c, a, epoch, remaining, headers);
 	request.body = c->body;
 	request.body_len = c->body_len;
-	request.connect_timeout_ms =
-	    left_ms < CONNECT_TIMEOUT_MS ? left_ms : CONNECT_TIMEOUT_MS;
-	request.timeout_ms = c->lane == LANE_WATCH ? 0 : left_ms + LATE_MS;
+	request.connect_timeout_ms = remaining_ms < CONNECT_TIMEOUT_MS ?
+	    remaining_ms :
+	    CONNECT_TIMEOUT_MS;
+	request.timeout_ms = c->lane == LANE_WATCH ? 0 : remaining_ms + LATE_MS;
 	request.idempotent = c->idempotent;
 	request.ctx = a;
 	a->sent_ns = uv_hrtime();
--- a/lagoonpind/call_endpoint.c
+++ b/lagoonpind/call_endpoint.c
@@ -7,12 +7,13 @@
 #include "callers.h"
 #include "clock.h"
 
-/* The endpoints that calls may go to, as the VM list tells of them. */
+/* The endpoints that calls may be sent to, from the VM list. */
 
-/* An endpoint that refuses as leaving is shunned until the list tells. */
-#define LEAVING_MS 10000
+/* How long an endpoint that refused as draining is avoided; by then the VM list
+ * reports its state. */
+#define REFUSED_DRAINING_MS 10000
 
-static struct endpoint_slot *slot_of(struct callers *, const char *);
+static struct endpoint_slot *hash_slot(struct callers *, const char *);
 static struct endpoint *endpoint_new(struct callers *, const char *);
 static void update(struct endpoint *, const struct vm *);
 static void join_services(struct endpoint *, const struct vm *);
@@ -22,7 +23,7 @@
 {
 	struct endpoint *ep;
 
-	SLIST_FOREACH (ep, slot_of(cs, id), id_link) {
+	SLIST_FOREACH (ep, hash_slot(cs, id), id_link) {
 		if (strcmp(ep->id, id) == 0)
 			return ep;
 	}
@@ -30,7 +31,7 @@
 }
 
 static struct endpoint_slot *
-slot_of(struct callers *cs, const char *id)
+hash_slot(struct callers *cs, const char *id)
 {
 	return &cs->by_id[XXH64(id, strlen(id), 0) % CALL_ENDPOINT_TABLE];
 }
@@ -54,7 +55,7 @@
 	}
 	LIST_INIT(&ep->attempts);
 	LIST_INSERT_HEAD(&cs->endpoints, ep, link);
-	SLIST_INSERT_HEAD(slot_of(cs, id), ep, id_link);
+	SLIST_INSERT_HEAD(hash_slot(cs, id), ep, id_link);
 	return ep;
 }
 
@@ -68,7 +69,7 @@
 			c->avoid = NULL;
 	}
 	LIST_REMOVE(ep, link);
-	SLIST_REMOVE(slot_of(ep->callers, ep->id), ep, endpoint, id_link);
+	SLIST_REMOVE(hash_slot(ep->callers, ep->id), ep, endpoint, id_link);
 	free(ep);
 }
 
@@ -156,7 +157,7 @@
 	return ep->state == VM_LIVE && now_ms >= ep->refused_until_ms;
 }
 
-/* Endpoints that refused as leaving, and weren't, are taken back. */
+/* Use endpoints again that refused as draining but stayed in the VM list. */
 void
 endpoints_expire_refusals(struct callers *cs, int64_t now_ms)
 {
@@ -174,7 +175,7 @@
 void
 endpoint_refused_draining(struct endpoint *ep, int64_t now_ms)
 {
-	ep->refused_until_ms = now_ms + LEAVING_MS;
+	ep->refused_until_ms = now_ms + REFUSED_DRAINING_MS;
 	endpoint_refresh(ep, now_ms);
 	call_watch_drain(ep);
 }
--- a/lagoonpind/call_explain.c
+++ b/lagoonpind/call_explain.c
@@ -7,8 +7,8 @@
 #include "clock.h"
 
 /*
- * A bounded ring of recent requests with what was done about each, for an
- * operator who asks why.
+ * A ring buffer of recent requests with their attempts and outcomes, for
+ * /v1/explain.
  */
 
 #define NS_PER_MS 1e6
@@ -36,12 +36,12 @@
 };
 
 struct explain_ring {
-	struct explain *slots;
+	struct explain *records;
 	size_t n;
-	uint64_t next; /* from 1 */
+	uint64_t next; /* record number; from 1, 0 marks an empty one */
 };
 
-static struct explain *slot_of(const struct call *);
+static struct explain *record_of(const struct call *);
 static json_t *attempts_json(const struct explain *);
 static json_t *explain_json(const struct explain *);
 
@@ -52,7 +52,7 @@
 
 	if ((ring = calloc(1, sizeof(*ring))) == NULL)
 		return NULL;
-	if ((ring->slots = calloc(n, sizeof(*ring->slots))) == NULL) {
+	if ((ring->records = calloc(n, sizeof(*ring->records))) == NULL) {
 		free(ring);
 		return NULL;
 	}
@@ -64,7 +64,7 @@
 void
 explain_close(struct explain_ring *ring)
 {
-	free(ring->slots);
+	free(ring->records);
 	free(ring);
 }
 
@@ -76,7 +76,7 @@
 
 	ring = c->callers->explains;
 	c->explain = ring->next++;
-	x = &ring->slots[c->explain % ring->n];
+	x = &ring->records[c->explain % ring->n];
 	memset(x, 0, sizeof(*x));
 	x->number = c->explain;
 	strlcpy(x->id, c->id, sizeof(x->id));
@@ -86,15 +86,15 @@
 	x->wall_ms = clock_wall_ms();
 }
 
-/* NULL: newer requests have taken its place. */
+/* NULL: overwritten by a newer request. */
 static struct explain *
-slot_of(const struct call *c)
+record_of(const struct call *c)
 {
 	struct explain_ring *ring;
 	struct explain *x;
 
 	ring = c->callers->explains;
-	x = &ring->slots[c->explain % ring->n];
+	x = &ring->records[c->explain % ring->n];
 	return x->number == c->explain ? x : NULL;
 }
 
@@ -105,7 +105,7 @@
 	struct explain_attempt *xa;
 	struct explain *x;
 
-	if ((x = slot_of(c)) == NULL || a->number > CALL_ATTEMPTS_MAX)
+	if ((x = record_of(c)) == NULL || a->number > CALL_ATTEMPTS_MAX)
 		return;
 	if (a->number > x->nattempts)
 		x->nattempts = a->number;
@@ -121,7 +121,7 @@
 {
 	struct explain *x;
 
-	if ((x = slot_of(c)) == NULL)
+	if ((x = record_of(c)) == NULL)
 		return;
 	x->over = true;
 	x->answer = *answer;
@@ -159,7 +159,7 @@
 	    "attempts", attempts_json(x));
 }
 
-/* All that is remembered of an id, the newest first. */
+/* Replies with all records of the id, newest first. */
 bool
 explain_reply(struct callers *cs, struct httpd_request *r, const char *id)
 {
@@ -171,7 +171,7 @@
 	ring = cs->explains;
 	list = json_array();
 	for (i = 1; i <= ring->n; i++) {
-		x = &ring->slots[(ring->next - i) % ring->n];
+		x = &ring->records[(ring->next - i) % ring->n];
 		if (x->number != 0 && strcmp(x->id, id) == 0)
 			json_array_append_new(list, explain_json(x));
 	}
--- a/lagoonpind/call_hedge.c
+++ b/lagoonpind/call_hedge.c
@@ -3,19 +3,19 @@
 #include "counter.h"
 
 /*
- * Hedging: an idempotent call that takes much longer than its service's mean
- * is sent to a second endpoint as well, within a budget, and the first answer
- * counts.  One endpoint that stalls then costs its callers a few mean service
- * times instead of their deadlines.
+ * Hedged requests: an idempotent call that takes much longer than its
+ * service's mean is also sent to a second endpoint, within a budget, and the
+ * first response is used.  A stalled endpoint then delays its calls by a few
+ * mean service times instead of until their deadlines.
  */
 
-#define HEDGE_FACTOR 3 /* times the mean service time */
+#define HEDGE_FACTOR 3 /* multiple of the mean service time */
 #define HEDGE_MIN_MS 2
 
-static bool worth_it(const struct call *, int64_t);
+static bool may_hedge(const struct call *, int64_t);
 static void hedge(struct call *, int64_t);
 
-/* After the first dispatch. */
+/* Called at each dispatch; arms a hedge at the first. */
 void
 call_hedge_arm(struct call *c, int64_t now_ms)
 {
@@ -42,9 +42,9 @@
 	TAILQ_REMOVE(&c->service->hedges, c, hedge_link);
 }
 
-/* Only with time for another answer, and not ahead of calls that wait. */
+/* Requires time for another response and no calls waiting in the queue. */
 static bool
-worth_it(const struct call *c, int64_t now_ms)
+may_hedge(const struct call *c, int64_t now_ms)
 {
 	const struct admit_service *as;
 
@@ -59,7 +59,7 @@
 {
 	enum budget_verdict verdict;
 
-	if (!worth_it(c, now_ms)) {
+	if (!may_hedge(c, now_ms)) {
 		counter_reason("lagoonpin_call_hedges", "no_room");
 		return;
 	}
@@ -72,7 +72,7 @@
 		counter_reason("lagoonpin_call_hedges", "no_credit");
 }
 
-/* The delay of a service hardly changes, so the first in line is due first. */
+/* A service's delay hardly changes, so its first armed call is due first. */
 void
 call_hedge_run(struct callers *cs, int64_t now_ms)
 {
--- a/lagoonpind/call_read.c
+++ b/lagoonpind/call_read.c
@@ -8,16 +8,16 @@
 #include "record.h"
 
 /*
- * First filter: a request becomes a call, or is refused by the name of what
- * is wrong with it.  A request that was cut off never gets here, since the
- * HTTP server waits for the whole of it.
+ * Parsing: turns a request into a call, or refuses it with the name of the
+ * invalid part.  Truncated requests don't get here, since the HTTP server
+ * delivers complete requests only.
  */
 
 #define CALL_PATH "/v1/call/"
 #define DEADLINE_MAX_MS 86400000
 #define TEAM_DEFAULT ""
 
-static bool read_word(struct httpd_request *, const char *, const char *,
+static bool read_choice(struct httpd_request *, const char *, const char *,
     const char *, bool *, const char **);
 static enum outcome_reason read_headers(
     struct call *, struct httpd_request *, const char **);
@@ -103,15 +103,15 @@
 	c->service = service_find(c->callers, name);
 	if (c->service != NULL)
 		return OUTCOME_COMPLETE;
-	/* Until the VM list is here, nothing is known to be unknown. */
+	/* Before the first VM list, a service can't be known not to exist. */
 	if (fleet_age_ms(c->callers->entry->fleet, c->arrived_ms) < 0)
 		return OUTCOME_NO_ENDPOINT;
 	return OUTCOME_UNKNOWN_SERVICE;
 }
 
-/* One of two words; *first tells which.  An absent header leaves it. */
+/* Parses a header with two allowed values; *first is kept if it is absent. */
 static bool
-read_word(struct httpd_request *r, const char *name, const char *one,
+read_choice(struct httpd_request *r, const char *name, const char *one,
     const char *other, bool *first, const char **detail)
 {
 	const char *value;
@@ -146,12 +146,12 @@
 	bool urgent, watch;
 
 	urgent = watch = false;
-	if (!read_word(r, "lagoonpin-idempotent", "yes", "no", &c->idempotent,
+	if (!read_choice(r, "lagoonpin-idempotent", "yes", "no", &c->idempotent,
 		detail) ||
-	    !read_word(r, "lagoonpin-repeat", "yes", "no", &c->facts.repeated,
+	    !read_choice(r, "lagoonpin-repeat", "yes", "no", &c->facts.repeated,
 		detail) ||
-	    !read_word(r, "lagoonpin-watch", "yes", "no", &watch, detail) ||
-	    !read_word(
+	    !read_choice(r, "lagoonpin-watch", "yes", "no", &watch, detail) ||
+	    !read_choice(
 		r, "lagoonpin-priority", "urgent", "normal", &urgent, detail))
 		return OUTCOME_BAD_HEADER;
 	c->item.priority = urgent ? ADMIT_URGENT : ADMIT_NORMAL;
@@ -186,8 +186,8 @@
 }
 
 /*
- * An id made up here can't be repeated by the caller, so a non-idempotent
- * call must bring its own.
+ * A client can't repeat a request under an id generated here, so a
+ * non-idempotent call must carry its own.
  */
 static enum outcome_reason
 read_id(struct call *c, struct httpd_request *r, const char **detail)
@@ -220,17 +220,17 @@
 read_deadline(struct call *c, struct httpd_request *r, const char **detail)
 {
 	const char *problem, *value;
-	int64_t left_ms;
+	int64_t timeout_ms;
 
-	left_ms = c->service->deadline_ms;
+	timeout_ms = c->service->deadline_ms;
 	value = httpd_request_header(r, "lagoonpin-deadline-ms");
 	if (value != NULL) {
-		left_ms = strtonum(value, 1, DEADLINE_MAX_MS, &problem);
+		timeout_ms = strtonum(value, 1, DEADLINE_MAX_MS, &problem);
 		*detail = "lagoonpin-deadline-ms";
 		if (problem != NULL)
 			return OUTCOME_BAD_DEADLINE;
 	}
-	c->item.deadline_ms = c->arrived_ms + left_ms;
+	c->item.deadline_ms = c->arrived_ms + timeout_ms;
 	c->endpoint_deadline_ms = c->item.deadline_ms;
 	if (c->lane == LANE_WATCH && value == NULL)
 		c->endpoint_deadline_ms = c->arrived_ms + DEADLINE_MAX_MS;
@@ -259,9 +259,10 @@
 }
 
 /*
- * The caller went away.  What hasn't been sent is dropped.  A quick call in
- * flight goes on, since the endpoint does too: its slot is really taken, and
- * the answer to a non-idempotent one is kept for the caller's repeat.
+ * The client disconnected.  A call that is not in flight is dropped, and a
+ * watch is cancelled.  A unary call in flight continues, since its endpoint
+ * runs it: the slot stays in use, and the response to a non-idempotent call is
+ * cached for a repeat.
  */
 static void
 on_gone(struct httpd_request *r, void *ctx)
--- a/lagoonpind/call_service.c
+++ b/lagoonpind/call_service.c
@@ -6,10 +6,11 @@
 #include "counter.h"
 #include "learn.h"
 
-/* Services as the operators' records and the fleet tell of them. */
+/* Services from the configuration records and the VM list. */
 
 #define RETRY_PERCENT_DEFAULT 10
-/* In BUDGET_BUCKETS, so that a quiet service may retry. */
+/* Retries within BUDGET_BUCKETS that need no successes, so that a service with
+ * few calls may retry. */
 #define RETRY_RESERVE 10
 #define WEIGHT_DEFAULT 1
 
@@ -76,7 +77,7 @@
 	free(s);
 }
 
-/* Take what the operators' records say about the service. */
+/* Applies the configuration records to the service. */
 static void
 service_apply(struct call_service *s, const struct conf *conf)
 {
@@ -101,7 +102,6 @@
 		admit_set_weight(s->lanes[i].admit, (unsigned int)weight);
 }
 
-/* The records in force have changed: services, teams, policy. */
 void
 services_apply_conf(struct callers *cs, int64_t now_ms)
 {
--- a/lagoonpind/call_watch.c
+++ b/lagoonpind/call_watch.c
@@ -5,25 +5,27 @@
 #include "counter.h"
 
 /*
- * Standing watches: their answers are passed on as they come.  A stream that
- * breaks is cut, so that the caller can't take what it has for the whole.
+ * Watches: responses that are streamed to the client.  If the stream from the
+ * endpoint breaks, the client's connection is aborted, so that the client
+ * can't take the partial response as complete.
  *
- * When an endpoint leaves, the watches on it are moved to another one: the
- * request is sent again there and its answer goes on in the same stream,
- * beginning anew.  Where that can't be, since this entry stops or nobody has
- * room, the stream ends with a line that tells the caller to open it again;
- * without that line its end would look like the end of what is watched.
- * Both need to know where a line ends, so other streams are cut instead.
+ * When an endpoint drains, its idempotent watches are moved: the request is
+ * sent to another endpoint, and the new response continues in the same stream
+ * from its start.  If a watch can't be moved, since it is not idempotent, this
+ * entry stops or no endpoint has a free connection, the stream ends with a
+ * line that tells the client to reopen it; without it, the end would look like
+ * the end of the watched data.  Both require line boundaries, so streams of
+ * other types than CALL_NDJSON_TYPE are cut.
  */
 
-#define MOVE_MS 5000 /* how long a place elsewhere is waited for */
+#define MOVE_TIMEOUT_MS 5000 /* time allowed to start at another endpoint */
 
-static void leave(struct attempt *);
+static void drain_attempt(struct attempt *);
 static void move(struct attempt *);
-static void send_again(struct call *);
+static void resend(struct call *);
 static struct httpc_call *stream_of(struct call *);
 
-/* From here on the watch has no deadline of ours. */
+/* Once its response has begun, a watch has no deadline at this entry. */
 void
 call_watch_head(struct attempt *a, int status, const char *type)
 {
@@ -55,10 +57,10 @@
 	httpd_send(c->request, data, len);
 	c->at_line_end = data[len - 1] == '\n';
 	if (a->draining && c->at_line_end)
-		leave(a);
+		drain_attempt(a);
 }
 
-/* The stream ended at the endpoint, was cut, or was cancelled from here. */
+/* The stream was ended by the endpoint, broke or was cancelled. */
 void
 call_watch_ended(struct attempt *a, enum httpc_error error)
 {
@@ -71,7 +73,7 @@
 	    error == HTTPC_OK ? OUTCOME_ATTEMPT_COMPLETE :
 				OUTCOME_ATTEMPT_UNKNOWN);
 	explain_attempt(c, a, moved ? "moved" : httpc_strerror(error), 0);
-	/* Closing its connection gives its place at the endpoint back. */
+	/* The endpoint's connection is free once it is closed. */
 	attempt_end(a,
 	    error == HTTPC_OK || error == HTTPC_ERR_CANCELLED ?
 		OUTCOME_ATTEMPT_COMPLETE :
@@ -79,14 +81,14 @@
 	if (c->answered)
 		call_free_if_ended(c);
 	else if (moved)
-		send_again(c);
+		resend(c);
 	else if (error == HTTPC_OK)
 		call_answer_end(c);
 	else
 		call_answer_cut(c);
 }
 
-/* The endpoint leaves or this entry stops. */
+/* The endpoint drains or this entry stops. */
 void
 call_watch_drain(struct endpoint *ep)
 {
@@ -98,12 +100,12 @@
 			continue;
 		a->draining = true;
 		if (a->call->at_line_end || !a->call->is_ndjson)
-			leave(a);
+			drain_attempt(a);
 	}
 }
 
 static void
-leave(struct attempt *a)
+drain_attempt(struct attempt *a)
 {
 	struct call *c;
 
@@ -123,13 +125,13 @@
 }
 
 static void
-send_again(struct call *c)
+resend(struct call *c)
 {
 	int64_t now_ms, retry_after_ms;
 
 	now_ms = clock_now_ms();
 	c->tries = 0;
-	c->item.deadline_ms = now_ms + MOVE_MS;
+	c->item.deadline_ms = now_ms + MOVE_TIMEOUT_MS;
 	if (admit_offer(c->service->lanes[c->lane].admit, &c->item, now_ms,
 		&retry_after_ms) != ADMIT_ACCEPTED) {
 		call_watch_close(c);
@@ -150,7 +152,7 @@
 	return NULL;
 }
 
-/* End the stream, in a way that can't be taken for the end of the watch. */
+/* Ends the stream so that it can't be taken for the end of the data. */
 void
 call_watch_close(struct call *c)
 {
@@ -170,7 +172,7 @@
 		httpc_cancel(stream);
 }
 
-/* Nobody reads the watch any more. */
+/* Finishes the call, then cancels its stream from the endpoint. */
 void
 call_watch_cancel(struct call *c, const struct outcome_answer *answer)
 {
--- a/lagoonpind/callers.c
+++ b/lagoonpind/callers.c
@@ -11,23 +11,23 @@
 #include "log.h"
 
 /*
- * The callers' side as a part of the daemon.  Whatever frees or needs credits
- * marks a pass as due; the pass runs once before the loop sleeps, so that a
- * burst of answers, cancellations or arrivals costs one.
+ * The module that handles calls from clients.  Events that free or need
+ * credits schedule a pass, which runs once before the event loop blocks, so
+ * that a burst of responses, cancellations or arrivals costs one pass.
  */
 
 #define CALL_PATH "/v1/call/"
 #define EXPLAIN_PATH "/v1/explain"
 #define EXPLAIN_KEY "request="
-#define EXPLAIN_RING 1024
+#define EXPLAIN_RECORDS 1024
 #define QUOTA_BURST_MS 2000
 #define QUEUE_BYTES_MAX (64 << 20)
-#define NORMAL_EVERY 4
+#define NORMAL_INTERVAL 4
 #define RETRY_AFTER_MAX_MS 30000
-#define KEPT_ANSWERS 512
-#define KEPT_BYTES (8 << 20)
-#define KEPT_MS 600000
-#define SHARE_EVERY_MS 1000
+#define CACHED_RESPONSES 512
+#define CACHE_BYTES_MAX (8 << 20)
+#define CACHE_TTL_MS 600000
+#define QUOTA_SHARE_INTERVAL_MS 1000
 #define RECENT_IDS 32768
 
 static int callers_open(struct entry *);
@@ -45,7 +45,7 @@
 static bool start_call(struct admit_item *, void *);
 static void expire_call(struct admit_item *, bool, void *);
 static void run_pass(struct callers *);
-static void want_credits(struct callers *);
+static void request_credits(struct callers *);
 static void set_timer(struct callers *, int64_t);
 static void on_prepare(uv_prepare_t *);
 static void on_check(uv_check_t *);
@@ -70,19 +70,19 @@
 open_modules(struct callers *cs)
 {
 	struct quota_options qo = { .burst_ms = QUOTA_BURST_MS };
-	struct response_cache_options ko = {
-		.entries_max = KEPT_ANSWERS,
-		.bytes_max = KEPT_BYTES,
-		.keep_ms = KEPT_MS,
+	struct response_cache_options rco = {
+		.entries_max = CACHED_RESPONSES,
+		.bytes_max = CACHE_BYTES_MAX,
+		.keep_ms = CACHE_TTL_MS,
 	};
-	struct recent_ids_options ro = {
+	struct recent_ids_options rio = {
 		.ids_max = RECENT_IDS,
-		.keep_ms = KEPT_MS,
+		.keep_ms = CACHE_TTL_MS,
 	};
 	struct admit_options ao = {
 		.queue_max = (size_t)cs->entry->opt.queue_max,
 		.queue_bytes_max = QUEUE_BYTES_MAX,
-		.normal_every = NORMAL_EVERY,
+		.normal_every = NORMAL_INTERVAL,
 		.retry_after_max_ms = RETRY_AFTER_MAX_MS,
 		.start = start_call,
 		.expired = expire_call,
@@ -94,11 +94,11 @@
 	ao.quota = cs->quota;
 	if ((cs->admit = admit_open(&ao)) == NULL)
 		return -1;
-	if ((cs->responses = response_cache_open(&ko)) == NULL)
+	if ((cs->responses = response_cache_open(&rco)) == NULL)
 		return -1;
-	if ((cs->recent_ids = recent_ids_open(&ro)) == NULL)
+	if ((cs->recent_ids = recent_ids_open(&rio)) == NULL)
 		return -1;
-	if ((cs->explains = explain_open(EXPLAIN_RING)) == NULL)
+	if ((cs->explains = explain_open(EXPLAIN_RECORDS)) == NULL)
 		return -1;
 	if ((cs->claim_store = claim_store_open(cs->entry)) == NULL)
 		return -1;
@@ -207,7 +207,7 @@
 }
 
 static void
-want_credits(struct callers *cs)
+request_credits(struct callers *cs)
 {
 	struct call_service *s;
 
@@ -231,12 +231,12 @@
 	admit_expire(cs->admit, now_ms);
 	admit_run(cs->admit, now_ms);
 	call_hedge_run(cs, now_ms);
-	want_credits(cs);
+	request_credits(cs);
 	claim_store_flush(cs->claim_store, now_ms);
 	set_timer(cs, now_ms);
 }
 
-/* A deadline is answered when it passes, not at the next tick. */
+/* Expires calls at their deadline instead of the next tick. */
 static void
 set_timer(struct callers *cs, int64_t now_ms)
 {
@@ -292,7 +292,7 @@
 	counter_set(cs->running, admit_running(cs->admit));
 }
 
-/* The teams' rates are shared by the entries that take calls. */
+/* A team's rate limit is divided among the live entries. */
 static void
 share_quotas(struct callers *cs, int64_t now_ms)
 {
@@ -301,7 +301,7 @@
 
 	if (cs->entry->mesh == NULL || now_ms < cs->next_share_ms)
 		return;
-	cs->next_share_ms = now_ms + SHARE_EVERY_MS;
+	cs->next_share_ms = now_ms + QUOTA_SHARE_INTERVAL_MS;
 	entries = 1;
 	for (m = member_first(mesh_members(cs->entry)); m != NULL;
 	     m = member_next(m)) {
@@ -332,8 +332,8 @@
 }
 
 /*
- * New calls are refused as not run, with the listener closed so that the
- * balancer takes another entry.  Calls in flight finish.
+ * New calls are refused as not run, and the listener is closed so that the
+ * load balancer uses another entry.  Calls in flight finish.
  */
 static void
 callers_drain(struct entry *e, int64_t now_ms)
@@ -349,8 +349,8 @@
 }
 
 /*
- * Watches that may stand for days don't hold up the stop for ever: after
- * half of its time their callers are told to open them elsewhere.
+ * Watches may last for days and would block the shutdown: after half of the
+ * drain time their clients are told to reopen them at another entry.
  */
 static void
 end_watches(struct callers *cs, int64_t now_ms)
@@ -396,9 +396,10 @@
 }
 
 /*
- * The HTTP server, the clients and the store are closed in the same turn of
- * the loop and end the calls that are left.  A shutdown cut short may leave
- * some; then the memory stays until the process ends.
+ * The HTTP server, the HTTP clients and the store are closed in the same
+ * iteration of the loop, which ends the remaining calls.  A shutdown that was
+ * cut short may leave some; then the memory is not freed before the process
+ * exits.
  */
 static void
 on_closed(uv_handle_t *handle)
--- a/lagoonpind/callers.h
+++ b/lagoonpind/callers.h
@@ -20,9 +20,9 @@
 #include "recent_ids.h"
 
 /*
- * The callers' side.  A call passes through the filters read, admit, choose,
- * dispatch, collect and answer, one file each; every filter takes the call
- * and hands it to the next.  A filter that gives up hands it to answer.
+ * Handling of calls from clients.  A call passes through the stages read,
+ * admit, choose, dispatch, collect and answer, one file each.  A stage that
+ * fails the call passes it directly to answer.
  */
 
 #define CALL_ID_MAX CLAIM_ID_MAX
@@ -37,12 +37,12 @@
 #define CALL_REOPEN_LINE "{\"lagoonpin-watch\":\"reopen\"}\n"
 
 /*
- * Quick calls take a slot and a connection, standing watches only a
+ * Unary calls use a slot and a connection of the endpoint, watches only a
  * connection.  Each lane has its own queue and its own credits.
  */
 enum call_lane { LANE_UNARY, LANE_WATCH, NLANES };
 
-/* What is counted by reason. */
+/* Call counters that are labelled with the reason. */
 enum call_counted {
 	CALL_COUNT_REFUSED,
 	CALL_COUNT_UNKNOWN,
@@ -57,19 +57,19 @@
 struct claim_store;
 struct explain_ring;
 
-/* One lane of an endpoint; first in memory what choose() compares. */
+/* One lane of an endpoint.  ce comes first: candidate lists point to it. */
 struct endpoint_lane {
 	struct choose_endpoint ce;
 	struct endpoint *endpoint;
 	enum call_lane lane;
 };
 
-/* An endpoint's place in the list of candidates of a service. */
+/* An endpoint as a member of one of its services. */
 struct endpoint_member {
 	struct call_service *service;
-	size_t candidate_index[NLANES]; /* or CALL_INDEX_NONE */
-	int64_t counted_credits[NLANES]; /* credits entered in its capacity */
-	bool is_live; /* entered in its number of endpoints */
+	size_t candidate_index[NLANES]; /* CALL_INDEX_NONE: not listed */
+	int64_t counted_credits[NLANES]; /* in the service's capacity */
+	bool is_live; /* counted in the service's nendpoints */
 };
 
 struct endpoint {
@@ -80,9 +80,9 @@
 	char shard[2 * FLEET_ID_MAX + 1];
 	char address[FLEET_IP_MAX + 8]; /* IP:PORT */
 	enum vm_state state;
-	bool pinned; /* in use beyond its attempts */
-	int64_t refused_until_ms; /* it said that it is leaving */
-	struct credit_amount spare; /* credits free here */
+	bool pinned; /* not freed, even without attempts */
+	int64_t refused_until_ms; /* refused as draining; 0: did not */
+	struct credit_amount spare; /* credits free at this entry */
 	struct endpoint_lane lanes[NLANES];
 	size_t nmembers;
 	struct endpoint_member members[FLEET_SERVICES_MAX];
@@ -91,31 +91,31 @@
 LIST_HEAD(endpoint_list, endpoint);
 SLIST_HEAD(endpoint_slot, endpoint);
 
-/* A service as this entry knows it from its record or from the fleet. */
+/* A service known from its configuration record or from the VM list. */
 struct call_service {
 	LIST_ENTRY(call_service) link;
 	char name[CALL_SERVICE_MAX];
-	int kind; /* of learn.h */
+	int kind; /* from learn_kind() */
 	bool has_record;
-	size_t nendpoints; /* live ones */
+	size_t nendpoints; /* live endpoints */
 	int64_t deadline_ms;
 	size_t body_max;
 	struct budget budget;
-	TAILQ_HEAD(, call) hedges; /* armed, the earliest first */
+	TAILQ_HEAD(, call) hedges; /* armed, earliest first */
 	struct latency *latency;
 	struct {
 		struct admit_service *admit;
-		struct choose_endpoint **candidates; /* with a credit */
+		struct choose_endpoint **candidates; /* have a free credit */
 		size_t ncandidates;
 		size_t size;
-		int64_t capacity; /* credits, free or in use */
+		int64_t capacity; /* credits free and in use */
 	} lanes[NLANES];
 };
 LIST_HEAD(call_service_list, call_service);
 
-/* One try of a call at one endpoint; it holds a credit until it ends. */
+/* One attempt of a call at an endpoint.  Holds a credit until it ends. */
 struct attempt {
-	LIST_ENTRY(attempt) link; /* of the call */
+	LIST_ENTRY(attempt) link; /* attempts of the call */
 	LIST_ENTRY(attempt) endpoint_link;
 	struct call *call;
 	struct endpoint *endpoint;
@@ -124,51 +124,51 @@
 	int number;
 	struct httpc_call *http; /* NULL before dispatch */
 	uint64_t sent_ns;
-	enum choose_reason why; /* of the choice */
-	bool streaming; /* a watch whose answer has begun */
-	bool draining; /* to be moved or ended at the end of a line */
-	bool moved; /* cancelled to be sent elsewhere */
+	enum choose_reason why; /* why the endpoint was chosen */
+	bool streaming; /* a watch; the response has begun */
+	bool draining; /* move or end the watch at the next line end */
+	bool moved; /* cancelled, to be resent to another endpoint */
 	char number_text[12];
 };
 LIST_HEAD(attempt_list, attempt);
 
 struct call {
-	struct admit_item item; /* first: admission hands it back */
+	struct admit_item item; /* first: cast to struct call by callbacks */
 	LIST_ENTRY(call) link;
 	struct callers *callers;
 	struct call_service *service;
 	enum call_lane lane;
-	struct httpd_request *request; /* NULL: the caller is gone */
+	struct httpd_request *request; /* NULL: the client has disconnected */
 	char id[CALL_ID_MAX];
 	char type[CALL_TYPE_MAX]; /* content-type of the body */
 	bool idempotent;
-	bool has_client_id; /* the caller's, not made up here */
-	bool head_sent; /* a watch: the caller has the head of the answer */
-	bool is_ndjson; /* its answer is of CALL_NDJSON_TYPE */
-	bool at_line_end; /* the last byte passed on ended a line */
-	bool answered; /* only attempts or a claim are left */
-	const char *body; /* held by the request */
+	bool has_client_id; /* id was sent by the client, not generated */
+	bool head_sent; /* a watch: response head was sent to the client */
+	bool is_ndjson; /* the response has type CALL_NDJSON_TYPE */
+	bool at_line_end; /* the last byte sent was a newline */
+	bool answered; /* outcome reported; attempts may remain */
+	const char *body; /* owned by request */
 	size_t body_len;
-	uint64_t hash; /* non-idempotent: of the whole request */
-	/* When the endpoint ends it: a watch may stand longer than it waits
-	 * to begin. */
+	uint64_t hash; /* of the request; non-idempotent calls only */
+	/* Deadline sent to the endpoint.  A watch may run longer than the
+	 * time allowed for its start (item.deadline_ms). */
 	int64_t endpoint_deadline_ms;
 	uint64_t arrived_ns;
 	int64_t arrived_ms;
 	struct outcome_facts facts;
-	enum outcome_reason failure; /* how the last attempt ended */
+	enum outcome_reason failure; /* of the last failed attempt */
 	TAILQ_ENTRY(call) hedge_link;
-	int64_t hedge_ms; /* when a second endpoint is due; 0: never armed */
+	int64_t hedge_ms; /* when a hedge is due; 0: never armed */
 	bool hedge_armed;
 	int nattempts;
-	int tries; /* attempts since the watch was moved last */
-	struct endpoint *avoid; /* where the last attempt failed; may be gone */
+	int tries; /* attempts; reset when a watch is moved */
+	struct endpoint *avoid; /* of an earlier attempt, or NULL */
 	struct attempt_list attempts;
-	struct attempt *claim_attempt; /* waits for the claim */
+	struct attempt *claim_attempt; /* waits for the claim to be granted */
 	struct claim claim;
-	struct claim_op *claim_op; /* with the store */
-	int64_t claim_revision; /* of our record; 0: not known */
-	uint64_t explain; /* number in the ring */
+	struct claim_op *claim_op; /* pending request to the store */
+	int64_t claim_revision; /* of this call's claim record; 0: unknown */
+	uint64_t explain; /* number of its explain record */
 };
 LIST_HEAD(call_list, call);
 
@@ -186,129 +186,132 @@
 	struct call_service_list services;
 	struct call_list calls;
 	struct explain_ring *explains;
-	int data_center; /* this entry's, as choose() compares them */
-	int64_t next_share_ms; /* when the entries are counted next */
-	int64_t conf_revision; /* whose records are applied */
-	uint64_t sequence; /* of made-up ids and claims */
+	int data_center; /* of this entry, from data_center_number() */
+	int64_t next_share_ms; /* next update of the quota shares */
+	int64_t conf_revision; /* of the applied records */
+	uint64_t sequence; /* for generated request ids and claims */
 	size_t ncalls;
-	/* Made on first use. */
+	/* Counters, created on first use. */
 	struct counter *reasons[CALL_NCOUNTED][OUTCOME_NREASONS];
 	struct counter *outcomes[OUTCOME_UNKNOWN + 1];
 	struct counter *queued;
 	struct counter *running;
 	uint64_t random;
-	bool pass_pending; /* a pass is due */
+	bool pass_pending;
 	bool draining;
 	uv_prepare_t prepare;
 	uv_check_t check;
-	uv_timer_t timer; /* the earliest deadline */
-	int64_t timer_ms; /* what it is set to; -1: off */
+	uv_timer_t timer; /* earliest deadline or hedge */
+	int64_t timer_ms; /* when timer is due; -1: stopped */
 };
 
-/* Filters. */
+/* Stages. */
 void call_read(struct callers *, struct httpd_request *);
 void call_admit(struct call *);
-bool call_choose(struct call *, int64_t now_ms); /* false: no credit */
+/* Choose an endpoint and dispatch; false: no credit or no memory. */
+bool call_choose(struct call *, int64_t now_ms);
 void call_dispatch(struct call *, struct attempt *);
 void call_collect_start(struct attempt *, struct httpc_request *);
-/* The attempt ended without an answer; try again elsewhere or give up. */
+/* The attempt ended without a response: retry the call or fail it. */
 void call_collect_failed(
     struct attempt *, enum outcome_attempt, enum outcome_reason);
 
-/* call_hedge.c: a second endpoint for a slow idempotent call. */
+/* call_hedge.c: hedged requests for slow idempotent calls. */
 void call_hedge_arm(struct call *, int64_t now_ms);
 void call_hedge_disarm(struct call *);
 void call_hedge_run(struct callers *, int64_t now_ms);
-int64_t call_hedge_next_ms(const struct callers *); /* -1: none */
+/* When the next hedge is due; -1: none. */
+int64_t call_hedge_next_ms(const struct callers *);
 
-/* call_watch.c: answers that are passed on as they come. */
+/* call_watch.c: streamed responses. */
 void call_watch_head(struct attempt *, int status, const char *type);
 void call_watch_data(struct attempt *, const char *data, size_t len);
 void call_watch_ended(struct attempt *, enum httpc_error);
-/* Move the watches of a leaving endpoint, or end them if this entry stops. */
+/* Move the watches of a draining endpoint, or end them if this entry stops. */
 void call_watch_drain(struct endpoint *);
-/* End the stream in a way that tells the caller to open it again. */
+/* End the stream so that the client knows to reopen it. */
 void call_watch_close(struct call *);
-/* The call is over for this reason; stop its stream, if any. */
+/* Finish the call with this outcome and cancel its stream, if any. */
 void call_watch_cancel(struct call *, const struct outcome_answer *);
 
-/* call_answer.c: the answer for a reason to give up. */
+/* call_answer.c */
+/* Fail the call; the outcome follows from the state of its attempts. */
 void call_refuse(struct call *, enum outcome_reason, int64_t retry_after_ms);
-/* The endpoint's complete answer. */
+/* Send a complete response of an endpoint. */
 void call_answer(
     struct call *, const struct cached_response *, enum outcome_reason);
-/* A watch: its head, then pieces by httpd_send, then its end or a cut. */
+/* Watches: send the head; data follows by httpd_send(); then end or cut. */
 void call_answer_begin(struct call *, int status, const char *type);
 void call_answer_end(struct call *);
 void call_answer_cut(struct call *);
-/* The caller was told, or is gone: count, log, remember, free. */
+/* After the response or a disconnect: count, log, record, free the call. */
 void call_answer_finish(struct call *, const struct outcome_answer *);
-/* Refused before there is a call. */
+/* Refuse a request for which no call was set up. */
 void call_refuse_request(struct callers *, struct httpd_request *,
     const char *id, const struct outcome_facts *, enum outcome_reason,
     const char *detail);
 void call_count_retry(struct callers *, enum outcome_reason);
 
 /* callers.c */
-void callers_schedule_pass(
-    struct callers *); /* run a pass before the loop sleeps */
+/* Have a pass run before the event loop next blocks. */
+void callers_schedule_pass(struct callers *);
 void call_free_if_ended(struct call *);
 
 /* call_service.c */
 struct call_service *service_find(struct callers *, const char *name);
 struct call_service *service_new(struct callers *, const char *name);
 void service_free(struct call_service *);
-/* The records in force have changed: services, teams, policy. */
+/* Apply changed configuration records: services, teams, policy. */
 void services_apply_conf(struct callers *, int64_t now_ms);
 
 /* call_endpoint.c */
 void endpoint_changed(struct callers *, struct vm *);
 struct endpoint *endpoint_find(struct callers *, const char *id);
 void endpoint_free(struct endpoint *);
-/* Whether new calls may go there. */
+/* Whether new calls may be sent to the endpoint. */
 bool endpoint_usable(const struct endpoint *, int64_t now_ms);
-/* It refused a call because it leaves; the VM list lags. */
+/* The endpoint refused a call as draining, ahead of the VM list. */
 void endpoint_refused_draining(struct endpoint *, int64_t now_ms);
 void endpoints_expire_refusals(struct callers *, int64_t now_ms);
 void endpoints_close(struct callers *);
-/* Choice compares data centres as numbers only. */
+/* Hash of a data centre's name, for comparison in choose(). */
 int data_center_number(const char *);
 
 /* call_credit.c */
-/* Its credits or its state changed: enter them in its services' lists. */
+/* Credits or state changed: update the candidate lists and capacities. */
 void endpoint_refresh(struct endpoint *, int64_t now_ms);
-/* Credits may have come before the VM list named the worker. */
+/* Read the credits that arrived before the VM list named the worker. */
 void endpoint_load_credits(struct endpoint *);
-/* It refused the epoch of our credits: a new owner has fenced it. */
+/* The endpoint refused the credits' epoch: a new owner has fenced it. */
 void endpoint_refused_fenced(struct endpoint *, uint64_t epoch);
-/* Be told of credits that come and go. */
+/* Subscribe to changes of the credit table. */
 void endpoints_subscribe_credits(struct callers *);
-/* Calls of this lane wait for want of credits. */
+/* Request credits from peers if calls of the lane wait for some. */
 void endpoints_request_credits(
     struct callers *, struct call_service *, enum call_lane);
-/* Take a credit; NULL: none, or no memory.  It is held by the attempt. */
+/* Take a credit for a new attempt; NULL: no credit or no memory. */
 struct attempt *attempt_new(struct call *, struct endpoint *);
-/* Give the credit back and free the attempt. */
+/* Release the credit and free the attempt. */
 void attempt_end(struct attempt *, enum outcome_attempt);
 
-/* call_claim.c: claims with the store, in groups. */
+/* claim_store.c, call_claim.c: claims in the store, written in batches. */
 struct claim_store *claim_store_open(struct entry *);
 void claim_store_close(struct claim_store *);
-/* The store owes an answer. */
+/* Whether a request to the store is in flight. */
 bool claim_store_in_flight(const struct claim_store *);
-/* Nothing is left to be asked, or the store is away. */
+/* No request is in flight, and none waits unless the store is unavailable. */
 bool claim_store_idle(const struct claim_store *);
 void claim_store_flush(struct claim_store *, int64_t now_ms);
 void call_claim_start(struct call *, struct attempt *);
 void call_claim_forget(struct call *);
 void claim_ops_init(struct callers *);
 
-/* learnt.c: shared with the batch side, which owns both. */
+/* learnt.c: learned latencies, owned by the batch module. */
 struct learn *callers_learn(const struct entry *);
-/* NULL: no memory. */
+/* NULL: out of memory. */
 struct learn_worker *callers_learnt(const struct entry *, const char *worker);
 
-/* call_explain.c: what was done about recent requests. */
+/* call_explain.c: records of recent requests. */
 struct explain_ring *explain_open(size_t n);
 void explain_close(struct explain_ring *);
 void explain_begin(struct call *);
--- a/lagoonpind/claim_answer.c
+++ b/lagoonpind/claim_answer.c
@@ -8,17 +8,17 @@
 #include "store.h"
 
 /*
- * What the store's answer to a group means for each of its claims.  If one
- * compare failed, the claims that met another record are told so and the
- * rest go into the next group.
+ * Applies the result of a transaction to each of its operations.  If a compare
+ * failed, operations that conflict with an existing record are reported as
+ * such and the rest are queued again.
  */
 
 #define SETTLE_TRIES 3
-/* So many groups in a row without an answer, unless the store refuses. */
-#define AWAY_FAILURES 4
+/* Consecutive failures after which the store counts as unavailable. */
+#define FAILURES_MAX 4
 
 static void parse_record(const struct store_kv *, struct claim_record *);
-static void note_result(struct claim_store *, enum store_error);
+static void update_availability(struct claim_store *, enum store_error);
 static void apply(struct claim_queue *, struct claim_op *,
     const struct store_txn_result *, size_t);
 static void apply_read(struct claim_op *, const struct store_op_result *);
@@ -35,7 +35,7 @@
 
 	memset(r, 0, sizeof(*r));
 	r->revision = kv->mod_revision;
-	/* What can't be read is somebody's claim all the same. */
+	/* A malformed record is treated as a claim of another call. */
 	r->mark = CLAIM_MARK_DONE;
 	if ((value = json_loadb(kv->value, kv->len, 0, NULL)) == NULL)
 		return;
@@ -52,11 +52,12 @@
 }
 
 /*
- * A store that is away makes newcomers fail at once.  A single lost answer
- * doesn't mean that it is away.
+ * While the store is unavailable, new claims fail immediately.  It is so
+ * after one STORE_ERR_UNAVAILABLE, or after FAILURES_MAX other failures in
+ * succession, such as requests without a response.
  */
 static void
-note_result(struct claim_store *s, enum store_error error)
+update_availability(struct claim_store *s, enum store_error error)
 {
 	switch (error) {
 	case STORE_OK:
@@ -68,13 +69,13 @@
 	case STORE_ERR_MEMORY:
 		return;
 	case STORE_ERR_UNAVAILABLE:
-		s->failures = AWAY_FAILURES;
+		s->failures = FAILURES_MAX;
 		break;
 	default:
 		s->failures++;
 		break;
 	}
-	if (s->failures >= AWAY_FAILURES)
+	if (s->failures >= FAILURES_MAX)
 		s->unavailable_until_ms = clock_now_ms() + CLAIM_UNAVAILABLE_MS;
 }
 
@@ -87,9 +88,9 @@
 	size_t i;
 
 	q = ctx;
-	/* What the ops lead to may start the next group. */
+	/* Completing an operation may start the next transaction. */
 	TAILQ_INIT(&ended);
-	note_result(q->store, r->error);
+	update_availability(q->store, r->error);
 	TAILQ_CONCAT(&ended, &q->in_flight, link);
 	for (i = 0; (op = TAILQ_FIRST(&ended)) != NULL; i++) {
 		TAILQ_REMOVE(&ended, op, link);
@@ -144,10 +145,10 @@
 	int64_t revision;
 
 	revision = r->nkvs == 0 ? 0 : r->kvs[0].mod_revision;
-	/* Its own compare held; another one of the group failed. */
+	/* Its own compare succeeded; another one in the batch failed. */
 	if (revision == op->revision) {
 		claim_requeue(q, op);
-		q->last_ms = 0; /* it has waited its turn */
+		q->last_ms = 0; /* no second wait for the interval */
 		return;
 	}
 	if (r->nkvs == 0) {
@@ -187,7 +188,7 @@
 	applied = error == STORE_ERR_UNKNOWN || error == STORE_ERR_RUBBISH;
 	if (error == STORE_ERR_NO_LEASE)
 		q->store->lease = 0;
-	/* Over the budget nothing was sent: the next group takes it. */
+	/* Nothing was written: retry in the next transaction. */
 	if (error == STORE_ERR_BUDGET || error == STORE_ERR_NO_LEASE) {
 		claim_requeue(q, op);
 		return;
--- a/lagoonpind/claim_int.h
+++ b/lagoonpind/claim_int.h
@@ -4,22 +4,22 @@
 #include "claim_store.h"
 #include "store.h"
 
-/* What claim_store.c and claim_answer.c share. */
+/* Shared by claim_store.c and claim_answer.c. */
 
-/* As a record has it. */
+/* The mark as written in a claim record. */
 const char *claim_mark_name(enum claim_mark);
 
-/* Of no use any more; nobody is told. */
+/* Frees the operation without notifying its call. */
 void claim_op_free(struct claim_op *);
-/* Into the next group. */
+/* Queue the operation for a later transaction. */
 void claim_requeue(struct claim_queue *, struct claim_op *);
-/* Tell the call, if it still waits, and free the op; record may be NULL. */
+/* Report to the call, if it still waits, and free op; record may be NULL. */
 void claim_op_complete(struct claim_op *, enum claim_store_result,
     const struct claim_record *record);
 
-/* The store's answer to the group that flies; ctx is its queue. */
+/* Result of the transaction in flight; ctx is its queue. */
 void claim_group_done(const struct store_txn_result *, void *ctx);
-/* An op, already out of its queue, whose group got no answer. */
+/* Handle an operation, already dequeued, whose transaction failed. */
 void claim_op_failed(struct claim_queue *, struct claim_op *, enum store_error);
 
 #endif /* CLAIM_INT_H */
--- a/lagoonpind/claim_store.c
+++ b/lagoonpind/claim_store.c
@@ -8,25 +8,25 @@
 #include "store.h"
 
 /*
- * Carries claims to the store, many in a transaction.  A transaction
- * compares and writes every key of its group; if one compare fails nothing
- * is written and the keys are read in the same transaction.  claim_answer.c
- * says what becomes of each claim.
+ * Batches claim operations into store transactions.  A transaction compares
+ * and writes every key of its batch.  If a compare fails, nothing is written
+ * and the keys are read in the same transaction.  claim_answer.c applies the
+ * result.
  */
 
-#define GROUP_MAX 48
+#define BATCH_MAX 48
 #define LEASE_TTL_S 86400
-#define LEASE_RENEW_MS 3600000 /* a new lease for new claims this often */
-#define LEASE_USE_MAX_MS (12 * INT64_C(3600000)) /* without a newer one */
-/* Groups are this far apart, which bounds the calls to the store. */
-#define ASK_EVERY_MS 40
-#define SETTLE_EVERY_MS 1000
-
-static bool is_flying(const struct claim_queue *, const char *);
-static size_t take_group(struct claim_queue *, struct claim_op **);
+#define LEASE_RENEW_MS 3600000 /* request a new lease this often */
+#define LEASE_USE_MAX_MS (12 * INT64_C(3600000)) /* if renewal fails */
+/* Minimum intervals of transactions, which limit the load on the store. */
+#define CLAIM_INTERVAL_MS 40
+#define SETTLE_INTERVAL_MS 1000
+
+static bool is_in_flight(const struct claim_queue *, const char *);
+static size_t take_batch(struct claim_queue *, struct claim_op **);
 static enum store_error start_txn(
     struct claim_queue *, struct claim_op **, size_t);
-static void send_group(struct claim_queue *, int64_t);
+static void send_batch(struct claim_queue *, int64_t);
 static void fail_waiting(struct claim_store *);
 static bool have_lease(struct claim_store *, int64_t);
 static void on_lease(const struct store_lease_result *, void *);
@@ -153,7 +153,7 @@
 }
 
 static bool
-is_flying(const struct claim_queue *q, const char *key)
+is_in_flight(const struct claim_queue *q, const char *key)
 {
 	const struct claim_op *op;
 
@@ -165,22 +165,23 @@
 }
 
 /*
- * A key may be in a transaction once.  A settle also waits for a write of
- * the same key, or it would find nothing to settle.
+ * A key may occur only once among the operations in flight of a queue.  A
+ * settle also waits for a write of the same key in flight, since it would not
+ * find the record.
  */
 static size_t
-take_group(struct claim_queue *q, struct claim_op **group)
+take_batch(struct claim_queue *q, struct claim_op **batch)
 {
 	struct claim_op *op, *next;
 	size_t n;
 
 	n = 0;
-	for (op = TAILQ_FIRST(&q->waiting); op != NULL && n < GROUP_MAX;
+	for (op = TAILQ_FIRST(&q->waiting); op != NULL && n < BATCH_MAX;
 	     op = next) {
 		next = TAILQ_NEXT(op, link);
-		if (is_flying(q, op->key) ||
+		if (is_in_flight(q, op->key) ||
 		    (q->kind == QUEUE_SETTLE &&
-			is_flying(&q->store->queues[QUEUE_WRITE], op->key)))
+			is_in_flight(&q->store->queues[QUEUE_WRITE], op->key)))
 			continue;
 		TAILQ_REMOVE(&q->waiting, op, link);
 		q->nwaiting--;
@@ -189,31 +190,31 @@
 			continue;
 		}
 		TAILQ_INSERT_TAIL(&q->in_flight, op, link);
-		group[n++] = op;
+		batch[n++] = op;
 	}
 	return n;
 }
 
 static enum store_error
-start_txn(struct claim_queue *q, struct claim_op **group, size_t n)
+start_txn(struct claim_queue *q, struct claim_op **batch, size_t n)
 {
-	struct store_compare compares[GROUP_MAX];
-	struct store_op puts[GROUP_MAX], gets[GROUP_MAX];
+	struct store_compare compares[BATCH_MAX];
+	struct store_op puts[BATCH_MAX], gets[BATCH_MAX];
 	struct store_txn_request txn;
 	size_t i;
 
 	memset(puts, 0, sizeof(puts));
 	memset(gets, 0, sizeof(gets));
 	for (i = 0; i < n; i++) {
-		compares[i] = (struct store_compare){ group[i]->key,
-			STORE_MOD_REVISION, STORE_EQUAL, group[i]->revision };
+		compares[i] = (struct store_compare){ batch[i]->key,
+			STORE_MOD_REVISION, STORE_EQUAL, batch[i]->revision };
 		puts[i].kind = STORE_PUT;
-		puts[i].key = group[i]->key;
-		puts[i].value = group[i]->value;
-		puts[i].len = strlen(group[i]->value);
+		puts[i].key = batch[i]->key;
+		puts[i].value = batch[i]->value;
+		puts[i].len = strlen(batch[i]->value);
 		puts[i].lease = q->store->lease;
 		gets[i].kind = STORE_GET;
-		gets[i].key = group[i]->key;
+		gets[i].key = batch[i]->key;
 	}
 	memset(&txn, 0, sizeof(txn));
 	txn.success = gets;
@@ -229,16 +230,16 @@
 }
 
 static void
-send_group(struct claim_queue *q, int64_t now_ms)
+send_batch(struct claim_queue *q, int64_t now_ms)
 {
-	struct claim_op *group[GROUP_MAX], *op;
+	struct claim_op *batch[BATCH_MAX], *op;
 	enum store_error error;
 	size_t n;
 
-	if ((n = take_group(q, group)) == 0)
+	if ((n = take_batch(q, batch)) == 0)
 		return;
 	q->last_ms = now_ms;
-	error = start_txn(q, group, n);
+	error = start_txn(q, batch, n);
 	if (error == STORE_OK) {
 		counter_add(counter_get("lagoonpin_claims_asked", ""), n);
 		counter_inc("lagoonpin_claim_groups", "");
@@ -269,8 +270,8 @@
 void
 claim_store_flush(struct claim_store *s, int64_t now_ms)
 {
-	static const int64_t every_ms[NQUEUES] = { ASK_EVERY_MS, ASK_EVERY_MS,
-		SETTLE_EVERY_MS };
+	static const int64_t interval_ms[NQUEUES] = { CLAIM_INTERVAL_MS,
+		CLAIM_INTERVAL_MS, SETTLE_INTERVAL_MS };
 	struct claim_queue *q;
 	int i;
 
@@ -281,19 +282,19 @@
 	for (i = 0; i < NQUEUES; i++) {
 		q = &s->queues[i];
 		if (q->nwaiting == 0 || !TAILQ_EMPTY(&q->in_flight) ||
-		    now_ms - q->last_ms < every_ms[i])
+		    now_ms - q->last_ms < interval_ms[i])
 			continue;
 		if (i != QUEUE_READ &&
 		    (now_ms < s->unavailable_until_ms ||
 			!have_lease(s, now_ms)))
 			continue;
-		send_group(q, now_ms);
+		send_batch(q, now_ms);
 	}
 }
 
 /*
- * Claims share a lease of a day.  A new one is asked for every hour, so that
- * a record is kept for most of a day and the store sees one lease an hour.
+ * Claims share a lease of a day.  A new one is requested every hour, so that
+ * a record is kept for most of a day at the cost of one lease an hour.
  */
 static bool
 have_lease(struct claim_store *s, int64_t now_ms)
--- a/lagoonpind/learnt.c
+++ b/lagoonpind/learnt.c
@@ -2,8 +2,8 @@
 #include "callers.h"
 
 /*
- * What the batch side learns of each worker, late measurements and tenants
- * included, is also what the choice of an endpoint goes by.
+ * The batch module's measurements of each worker, including late ones and
+ * those of all tenants, also serve the choice of endpoints.
  */
 
 struct learn *
--- a/lagoonpind/lend.c
+++ b/lagoonpind/lend.c
@@ -6,19 +6,22 @@
 #include "lend.h"
 #include "log.h"
 
-/* Credits for calls to endpoints: the book of this entry. */
-
-#define IDLE_MS 5000 /* credits not needed so long go back to the owner */
-#define LOST_MS 1000 /* between two looks for lost credits */
-#define RAISE_MS \
-	10000 /* an epoch is raised for lost credits at most so often */
-#define LOST_SHARE 8 /* an eighth of the shard's slots is worth a new epoch */
-#define STATE_MS 5000 /* between two statements of what is held */
-#define STATED_MAX_MS 12000 /* two may be lost */
-#define MISSING_LOOKS 30 /* missing in all of them: lost with a message */
-#define WANT_BURST 8
-/* bench/credit_skew.c: with 100 ms calls wait longer from 85 % load on. */
-#define WANT_REFILL_MS 50
+/* Credits for calls to endpoints: the credit table of this entry. */
+
+#define RETURN_INTERVAL_MS 5000 /* return of idle credits to owners */
+#define RECOVER_INTERVAL_MS 1000 /* search for lost credits */
+/* Minimum interval between epoch raises for lost credits of a shard. */
+#define RAISE_INTERVAL_MS 10000
+/* One lost slot in so many of the shard is worth a new epoch. */
+#define LOST_SHARE 8
+#define HOLDING_REPORT_INTERVAL_MS 5000
+/* Age limit of a holding report; tolerates two lost ones. */
+#define HOLDING_REPORT_MAX_MS 12000
+/* Slots unaccounted in all samples of a window were lost with a message. */
+#define UNACCOUNTED_SAMPLES 30
+#define REQUEST_BURST 8
+/* In bench/credit_skew.c, 100 ms increases call waits from 85 % load on. */
+#define REQUEST_REFILL_MS 50
 
 static int lend_open(struct entry *);
 static void lend_tick(struct entry *, int64_t);
@@ -26,7 +29,7 @@
 static void lend_close(struct entry *);
 static void on_spare(const struct credit_worker *, void *);
 static bool is_dead(const char *, uint64_t, void *);
-static int missing_long(struct lend *, struct shard_recovery *, int64_t);
+static int unaccounted_lost(struct lend *, struct shard_recovery *, int64_t);
 static void recover_shard(struct entry *, struct fleet_shard *, int64_t);
 static void recover_lost(struct entry *, int64_t);
 static struct shard_recovery *recovery_of(struct lend *, const char *);
@@ -63,7 +66,7 @@
 	}
 	gsl_rng_set(lend->rng, (unsigned long)e->opt.seed);
 	lending_rate_init(
-	    &lend->wants, WANT_BURST, WANT_REFILL_MS, clock_now_ms());
+	    &lend->wants, REQUEST_BURST, REQUEST_REFILL_MS, clock_now_ms());
 	e->lend = lend;
 	borrow_open(e);
 	return 0;
@@ -111,16 +114,16 @@
 	struct lend *lend = e->lend;
 
 	owners_report_abandoned(e);
-	if (now_ms - lend->returned_ms >= IDLE_MS ||
+	if (now_ms - lend->returned_ms >= RETURN_INTERVAL_MS ||
 	    e->phase != ENTRY_RUNNING) {
 		lend->returned_ms = now_ms;
 		owners_return(e);
 	}
-	if (now_ms - lend->holdings_sent_ms >= STATE_MS) {
+	if (now_ms - lend->holdings_sent_ms >= HOLDING_REPORT_INTERVAL_MS) {
 		lend->holdings_sent_ms = now_ms;
 		owners_report_held(e);
 	}
-	if (now_ms - lend->recovered_ms >= LOST_MS) {
+	if (now_ms - lend->recovered_ms >= RECOVER_INTERVAL_MS) {
 		lend->recovered_ms = now_ms;
 		recover_lost(e, now_ms);
 	}
@@ -246,26 +249,28 @@
 	if ((recovery = calloc(1, sizeof(*recovery))) == NULL)
 		return NULL;
 	strlcpy(recovery->shard, shard, sizeof(recovery->shard));
-	recovery->raised_ms = -RAISE_MS;
+	recovery->raised_ms = -RAISE_INTERVAL_MS;
 	recovery->next = lend->recoveries;
 	lend->recoveries = recovery;
 	return recovery;
 }
 
 /*
- * What is missing in every look of a window: credits on their way and old
- * statements come and go, lost ones stay.
+ * The minimum of unaccounted slots over a window of samples; 0 before the
+ * window is complete.  Slots are unaccounted for a while due to credits in
+ * transit and outdated holding reports, lost ones in every sample.
  */
 static int
-missing_long(struct lend *lend, struct shard_recovery *recovery, int64_t now_ms)
+unaccounted_lost(
+    struct lend *lend, struct shard_recovery *recovery, int64_t now_ms)
 {
 	int unaccounted;
 
 	unaccounted = credit_unaccounted(
-	    lend->table, recovery->shard, now_ms, STATED_MAX_MS);
+	    lend->table, recovery->shard, now_ms, HOLDING_REPORT_MAX_MS);
 	if (recovery->samples == 0 || unaccounted < recovery->unaccounted)
 		recovery->unaccounted = unaccounted;
-	if (++recovery->samples < MISSING_LOOKS)
+	if (++recovery->samples < UNACCOUNTED_SAMPLES)
 		return 0;
 	recovery->samples = 0;
 	if (recovery->unaccounted > 0)
@@ -274,8 +279,9 @@
 }
 
 /*
- * Lost credits come back with the next epoch, which costs a write, a fence of
- * each worker, and calls on their way that are refused and sent elsewhere.
+ * Raising the shard's epoch replaces lost credits, at the cost of a write to
+ * the store, a fence of each worker, and retries of the calls in transit,
+ * which are refused.
  */
 static void
 recover_shard(struct entry *e, struct fleet_shard *shard, int64_t now_ms)
@@ -288,12 +294,12 @@
 	if ((recovery = recovery_of(lend, shard->name)) == NULL)
 		return;
 	lost = credit_lost(lend->table, shard->name) +
-	    missing_long(lend, recovery, now_ms);
+	    unaccounted_lost(lend, recovery, now_ms);
 	slots = 0;
 	TAILQ_FOREACH (vm, &shard->workers, shard_link)
 		slots += vm->info.slots;
 	if (lost == 0 || lost * LOST_SHARE < slots || lend->on_lost == NULL ||
-	    now_ms - recovery->raised_ms < RAISE_MS)
+	    now_ms - recovery->raised_ms < RAISE_INTERVAL_MS)
 		return;
 	recovery->raised_ms = now_ms;
 	log_info("credits_lost", "shard=%s slots=%d", shard->name, lost);
--- a/lagoonpind/lend.h
+++ b/lagoonpind/lend.h
@@ -7,29 +7,29 @@
 #include "lending.h"
 
 /*
- * Shared by lend.c, the book; borrow.c, asking and granting; and owners.c,
- * what borrowers tell and return to owners.
+ * Shared by lend.c, the credit table; borrow.c, requests for credits and
+ * grants; and owners.c, reports and returns of borrowers to owners.
  */
 
-/* An owned shard's lost credits, and when its epoch was raised for them. */
+/* Search for the lost credits of an owned shard. */
 struct shard_recovery {
 	struct shard_recovery *next;
 	char shard[CREDIT_ID_MAX];
-	int64_t raised_ms;
-	int samples; /* for missing slots, in the window that is open */
-	int unaccounted; /* the least that was missing in it */
+	int64_t raised_ms; /* last epoch raise for lost credits */
+	int samples; /* of unaccounted slots in the current window */
+	int unaccounted; /* minimum over the window */
 };
 
 #define LEND_DEMANDS_MAX 16
 
-/* Calls that wait here for credits of a service. */
+/* Calls at this entry that wait for credits of a service. */
 struct lend_demand {
 	char service[CREDIT_ID_MAX];
 	enum credit_kind kind;
 	int waiting;
-	int64_t reported_ms; /* when the callers' side said so */
-	int64_t asked_ms; /* when a peer was asked; 0: no request is open */
-	int64_t next_ask_ms; /* not to look for a peer before */
+	int64_t reported_ms; /* last lend_request() */
+	int64_t asked_ms; /* request sent to a peer; 0: none pending */
+	int64_t next_ask_ms; /* no request before */
 };
 
 struct lend {
@@ -39,32 +39,32 @@
 	gsl_rng *rng;
 	struct lend_demand demands[LEND_DEMANDS_MAX];
 	size_t ndemands;
-	struct wire_transfers abandoned; /* to be told to their owners */
+	struct wire_transfers abandoned; /* to be reported to their owners */
 	struct shard_recovery *recoveries;
 	lend_changed *on_change;
 	void *on_change_ctx;
 	lend_lost *on_lost;
 	void *on_lost_ctx;
-	unsigned int rotation;
-	int64_t returned_ms;
-	int64_t recovered_ms;
-	int64_t holdings_sent_ms;
+	unsigned int rotation; /* where the next grant starts */
+	int64_t returned_ms; /* last return of idle credits */
+	int64_t recovered_ms; /* last search for lost credits */
+	int64_t holdings_sent_ms; /* last holding reports */
 };
 
-/* borrow.c: handles the peers' messages, and owners.c's. */
+/* Registers the message handlers of borrow.c and owners.c. */
 void borrow_open(struct entry *);
-/* false: certainly not sent. */
+/* false: the message was certainly not sent. */
 bool borrow_send(struct entry *, const char *to, enum wire_type,
     const struct wire_transfers *);
 
 void owners_open(struct entry *);
-/* Return what lies idle to its owners; all of it while draining. */
+/* Return idle credits to their owners; all free ones while draining. */
 void owners_return(struct entry *);
-/* A borrowed credit was abandoned: tell its owner with the next tick. */
+/* A borrowed credit was abandoned: report it to its owner at the next tick. */
 void owners_abandoned(
     struct lend *, const struct credit_worker *, enum credit_kind);
 void owners_report_abandoned(struct entry *);
-/* Tell each owner how much of its shards is held here. */
+/* Report to each owner the slots of its shards held here. */
 void owners_report_held(struct entry *);
 
 #endif /* LEND_H */
