--- a/lagoonpind/conf_watch.c
+++ b/lagoonpind/conf_watch.c
@@ -6,9 +6,9 @@
 #include "log.h"
 
 /*
- * Loads lp/w/ and watches it; the records go into core/conf, the rest to the
- * parts that registered.  While the store is away what is in force goes on,
- * and peers tell of newer revisions.
+ * Loads lp/w/ and watches it.  Operators' records go to core/conf, other keys
+ * to the modules that registered a prefix.  While the store is unavailable the
+ * records in force stay, and peers send newer revisions.
  */
 
 #define WATCH_PREFIX RECORD_KEY_PREFIX
@@ -21,7 +21,7 @@
 	struct conf *conf;
 	struct handler_list handlers;
 	struct store_watch *watch;
-	int64_t seen; /* everything up to here has been told */
+	int64_t delivered_revision; /* of the last change delivered */
 	int64_t retry_at_ms;
 	bool loading;
 	bool loaded;
@@ -34,14 +34,14 @@
 static void on_loaded(const struct store_range_result *, void *);
 static enum conf_error load_conf(
     struct conf_watch *, const struct store_range_result *);
-static void tell_handlers(
+static void reload_handlers(
     struct conf_watch *, const struct store_range_result *);
 static void start_watch(struct conf_watch *);
 static void on_event(enum store_watch_event, const struct store_kv *, void *);
 static void on_progress(int64_t, void *);
 static void on_lost(enum store_watch_loss, void *);
 static bool is_record(const char *);
-static bool concerns(const struct watch_handler *, const char *);
+static bool handles_key(const struct watch_handler *, const char *);
 static void apply(struct conf_watch *, const struct conf_update *);
 static void on_change(const struct conf_item *, void *);
 
@@ -79,7 +79,7 @@
 	if (w->watch != NULL)
 		store_watch_close(w->watch);
 	w->watch = NULL;
-	/* A load under way still calls back from store_close. */
+	/* on_loaded() runs in store_close() if a load is in flight. */
 	if (w->loading)
 		return;
 	conf_close(w->conf);
@@ -87,7 +87,7 @@
 	e->conf = NULL;
 }
 
-/* The first load waits for the first tick, when all parts are registered. */
+/* The first load is at the first tick, when all modules have registered. */
 static void
 conf_watch_tick(struct entry *e, int64_t now_ms)
 {
@@ -127,21 +127,22 @@
 		return;
 	}
 	/*
-	 * A copy of the store that lags behind what was already told would
-	 * take back registry and inbox keys; load again from another.
+	 * A replica of the store that lags behind the changes already
+	 * delivered would undo registry and inbox keys: load again, from
+	 * another replica.
 	 */
-	if (r->revision < w->seen) {
+	if (r->revision < w->delivered_revision) {
 		counter_reason("lagoonpin_conf_load_failures", "older");
 		log_warn("conf_load_older", "revision=%lld seen=%lld",
-		    (long long)r->revision, (long long)w->seen);
+		    (long long)r->revision, (long long)w->delivered_revision);
 		return;
 	}
 	if (load_conf(w, r) == CONF_ERR_MEMORY) {
 		counter_reason("lagoonpin_conf_load_failures", "no_memory");
 		return;
 	}
-	tell_handlers(w, r);
-	w->seen = r->revision;
+	reload_handlers(w, r);
+	w->delivered_revision = r->revision;
 	w->loaded = true;
 	log_info("conf_loaded", "revision=%lld keys=%zu in_force=%lld",
 	    (long long)r->revision, r->nkvs, (long long)conf_revision(w->conf));
@@ -174,7 +175,7 @@
 }
 
 static void
-tell_handlers(struct conf_watch *w, const struct store_range_result *r)
+reload_handlers(struct conf_watch *w, const struct store_range_result *r)
 {
 	struct watch_handler *h;
 	size_t i;
@@ -183,7 +184,7 @@
 		if (h->reload_begin != NULL)
 			h->reload_begin(h->ctx);
 		for (i = 0; i < r->nkvs && h->on_put != NULL; i++) {
-			if (concerns(h, r->kvs[i].key))
+			if (handles_key(h, r->kvs[i].key))
 				h->on_put(&r->kvs[i], h->ctx);
 		}
 		if (h->reload_end != NULL)
@@ -196,7 +197,7 @@
 {
 	struct store_watch_options options = {
 		.prefix = WATCH_PREFIX,
-		.start_revision = w->seen + 1,
+		.start_revision = w->delivered_revision + 1,
 		.on_event = on_event,
 		.on_progress = on_progress,
 		.on_lost = on_lost,
@@ -223,7 +224,7 @@
 		return;
 	}
 	SLIST_FOREACH (h, &w->handlers, link) {
-		if (!concerns(h, kv->key))
+		if (!handles_key(h, kv->key))
 			continue;
 		if (kind == STORE_EVENT_PUT && h->on_put != NULL)
 			h->on_put(kv, h->ctx);
@@ -245,7 +246,7 @@
 		log_warn("bad_record", "key=%s revision=%lld field=%s",
 		    update->key, (long long)update->revision,
 		    conf_get(w->conf, update->key)->fault.field);
-	/* Without memory the change is missing; load everything again. */
+	/* Out of memory: the change is missing, so load everything again. */
 	if (error == CONF_ERR_MEMORY && w->watch != NULL) {
 		store_watch_close(w->watch);
 		w->watch = NULL;
@@ -260,14 +261,14 @@
 	w = ctx;
 	if (w->watch == NULL)
 		return;
-	if (!conf_advance(w->conf, w->seen, revision)) {
+	if (!conf_advance(w->conf, w->delivered_revision, revision)) {
 		counter_reason("lagoonpin_conf_load_failures", "gap");
 		store_watch_close(w->watch);
 		w->watch = NULL;
 		return;
 	}
-	if (revision > w->seen)
-		w->seen = revision;
+	if (revision > w->delivered_revision)
+		w->delivered_revision = revision;
 	counter_set(counter_get("lagoonpin_conf_revision", ""),
 	    (uint64_t)conf_revision(w->conf));
 }
@@ -298,7 +299,7 @@
 }
 
 static bool
-concerns(const struct watch_handler *h, const char *key)
+handles_key(const struct watch_handler *h, const char *key)
 {
 	return strncmp(key, h->prefix, strlen(h->prefix)) == 0;
 }
@@ -318,7 +319,7 @@
 
 	w = e->conf;
 	SLIST_INSERT_HEAD(&w->handlers, h, link);
-	/* Too late for the first load: load again for this one. */
+	/* Registered after the first load: load again for this handler. */
 	if (w->watch != NULL) {
 		store_watch_close(w->watch);
 		w->watch = NULL;
--- a/lagoonpind/entries.c
+++ b/lagoonpind/entries.c
@@ -6,14 +6,14 @@
 #include "clock.h"
 #include "mesh.h"
 
-/* GET /v1/entries: every entry as this one sees it. */
+/* GET /v1/entries: the entries as this entry knows them. */
 
 static const char *state_name(enum member_state);
 static json_t *describe(const struct member_record *, const char *, int64_t);
 static json_t *describe_self(struct entry *);
 static json_t *describe_member(struct entry *, const struct member *, int64_t);
 
-/* The words of the operators' API. */
+/* State names of the operators' API. */
 static const char *
 state_name(enum member_state state)
 {
--- a/lagoonpind/history.c
+++ b/lagoonpind/history.c
@@ -7,19 +7,19 @@
 #include "operators.h"
 
 /*
- * What the changes of a record replaced.  A ring of slots in the store for
- * each record, so that it can't grow without bound.
+ * The replaced versions of a record, in a ring of keys in the store for each
+ * record, so that the history is bounded.
  */
 
 #define HISTORY_PREFIX "lp/history/"
-#define HISTORY_SLOTS 32 /* versions kept of each record */
+#define HISTORY_VERSIONS 32 /* versions stored of each record */
 
 struct history_read {
 	struct entry *entry;
-	struct httpd_request *request; /* NULL: the operator has gone */
+	struct httpd_request *request; /* NULL: the client has disconnected */
 };
 
-static void on_history_gone(struct httpd_request *, void *);
+static void on_history_disconnect(struct httpd_request *, void *);
 static void on_history(const struct store_range_result *, void *);
 
 const char *
@@ -28,7 +28,7 @@
 {
 	snprintf(buf, size, HISTORY_PREFIX "%s/%s/%02d", record_kind_name(kind),
 	    kind == RECORD_POLICY ? "policy" : name,
-	    (int)(version % HISTORY_SLOTS));
+	    (int)(version % HISTORY_VERSIONS));
 	return buf;
 }
 
@@ -59,7 +59,7 @@
 	h->request = r;
 	if (store_range(e->store, &range, on_history, h) != STORE_OK)
 		goto fail;
-	httpd_on_gone(r, on_history_gone, h);
+	httpd_on_gone(r, on_history_disconnect, h);
 	return;
 
 fail:
@@ -68,7 +68,7 @@
 }
 
 static void
-on_history_gone(struct httpd_request *r, void *ctx)
+on_history_disconnect(struct httpd_request *r, void *ctx)
 {
 	struct history_read *h;
 
@@ -92,7 +92,7 @@
 		return;
 	if (result->error != STORE_OK) {
 		reply_retry(r, 503, "store_unavailable",
-		    "history is kept in the store only", 2);
+		    "the history is only in the store", 2);
 		return;
 	}
 	list = json_array();
--- a/lagoonpind/lagoonpind.h
+++ b/lagoonpind/lagoonpind.h
@@ -20,11 +20,11 @@
 #include "wire.h"
 
 /*
- * The daemon on an entry VM.  struct entry is the process: its loop, its
- * settings, and one pointer for each part.  A part is a vertical slice with
- * its own files: configuration, mesh (peers), batch, lending, callers,
- * operators.  main.c opens the parts in order, ticks them, offers each HTTP
- * request to them, and drains and closes them in reverse.
+ * The daemon on an entry VM.  struct entry holds the state of the process: its
+ * event loop, its settings and a pointer to the state of each module.  The
+ * modules are the VM list, configuration, mesh (peers), lending, batch, callers
+ * and operators.  main.c opens them in order, runs their periodic work, offers
+ * each HTTP request to them, and drains and closes them in reverse order.
  */
 
 struct entry;
@@ -36,24 +36,24 @@
 struct operators;
 struct vms;
 
-/* Settings, in the units that their names tell; see options.c. */
+/* Settings; the suffix of a name is its unit.  See options.c. */
 struct options {
 	const char *id;
 	const char *data_center;
 	struct setting_address listen; /* callers and operators */
 	struct setting_address peer; /* other entries */
-	struct setting_addresses
-	    peers; /* of first contact, without the store */
+	/* Entries to contact at start if the store is unavailable. */
+	struct setting_addresses peers;
 	struct setting_addresses store; /* the platform's key-value service */
 	struct setting_address vm_list;
 	int log_level;
 	int64_t tick_ms;
 	int64_t body_max_bytes;
-	int64_t vm_list_ms; /* between two reads of the VM list */
-	int64_t
-	    vm_gone_ms; /* absence from the list until a VM counts as gone */
+	int64_t vm_list_ms; /* interval between reads of the VM list */
+	/* How long a VM must be absent from the list to count as gone. */
+	int64_t vm_gone_ms;
 	int64_t store_calls_per_s;
-	int64_t commit_ms; /* between two ledger writes */
+	int64_t commit_ms; /* interval between ledger writes */
 	int64_t registry_ttl_s;
 	int64_t heartbeat_ms;
 	int64_t silence_ms;
@@ -63,17 +63,17 @@
 	int64_t renew_ms;
 	int64_t hold_ms;
 	int64_t margin_ms;
-	int64_t ahead_ms; /* of work bound to a worker */
-	int64_t ahead; /* most tasks that wait at a worker for room */
+	int64_t ahead_ms; /* most expected work bound ahead to a worker */
+	int64_t ahead; /* most tasks bound ahead to a worker */
 	int64_t queue_max;
-	int64_t deadline_ms; /* of a call that names none */
-	int64_t drain_ms; /* longest graceful shutdown */
-	int64_t seed; /* of all randomness; 0: from the clock and id */
+	int64_t deadline_ms; /* default deadline of a call */
+	int64_t drain_ms; /* limit of a graceful shutdown */
+	int64_t seed; /* for all random numbers; 0: from clock and id */
 };
 
 enum entry_phase {
 	ENTRY_RUNNING,
-	ENTRY_DRAINING, /* no new work; what is in flight finishes */
+	ENTRY_DRAINING, /* accepts no new work, finishes work in flight */
 	ENTRY_CLOSING
 };
 
@@ -88,7 +88,7 @@
 	uv_signal_t on_int;
 	struct httpd *httpd;
 	struct httpc *store_http; /* connections to the store */
-	struct httpc *worker_http; /* control of workers, the VM list */
+	struct httpc *worker_http; /* worker control and the VM list */
 	struct httpc *endpoint_http; /* calls */
 	struct store *store;
 	struct fleet *fleet;
@@ -101,24 +101,24 @@
 	struct operators *operators;
 };
 
-/* One vertical slice of the daemon.  Every member but name may be NULL. */
+/* A module of the daemon.  Every member but name may be NULL. */
 struct module {
 	const char *name;
-	/* -1: the cause has been logged; the program ends. */
+	/* Return -1 on failure; the daemon then exits. */
 	int (*open)(struct entry *);
 	/* Every tick_ms. */
 	void (*tick)(struct entry *, int64_t now_ms);
-	/* true: the part has taken the request and answers it. */
+	/* Return true if the module answers the request. */
 	bool (*http)(struct entry *, struct httpd_request *);
-	/* A VM appeared, or changed its state or address. */
+	/* Called when a VM appears or changes its state or address. */
 	void (*vm_changed)(struct entry *, struct vm *, enum fleet_change);
 	/*
-	 * GET /v1/explain/KIND/ID for the kinds that the part owns: "job",
-	 * "task" (ID is JOB/INDEX), "request".  true: the part answers.
+	 * Handle GET /v1/explain/KIND/ID, where KIND is "job", "task" (ID is
+	 * JOB/INDEX) or "request".  Return true if the module answers.
 	 */
 	bool (*explain)(struct entry *, struct httpd_request *,
 	    const char *kind, const char *id);
-	/* A planned stop begins: take no new work, finish what is there. */
+	/* Graceful shutdown: accept no new work, finish the rest. */
 	void (*drain)(struct entry *, int64_t now_ms);
 	bool (*drained)(const struct entry *);
 	void (*close)(struct entry *);
@@ -132,24 +132,24 @@
 extern const struct module callers_module;
 extern const struct module operators_module;
 
-/* options.c: exits on a bad setting. */
+/* options.c: parse the settings; exits if one is invalid. */
 void options_parse(struct options *, int argc, char **argv);
 
-/* parts.c: the parts in the order in which they are opened. */
+/* parts.c: the modules in the order in which they are opened. */
 extern const struct module *const modules[];
 extern const size_t nmodules;
 
 /*
- * conf_watch.c: the one watch of this entry, on lp/w/.  Parts register a
+ * conf_watch.c: the store watch of this entry, on lp/w/.  Modules register a
  * prefix in their open().  All keys are loaded once, then changes follow in
- * the order of the store.  When the watch has lost its place (compaction),
- * everything is loaded again between reload_begin and reload_end: a key
- * that isn't put between the two was deleted.  A put may be told again;
- * mod_revision tells.  Any callback may be NULL.
+ * the order of the store.  When the watch can't be resumed (compaction), all
+ * keys are loaded again between reload_begin and reload_end: a key without an
+ * on_put between the two was deleted.  The same put may be delivered more than
+ * once; compare mod_revision.  Any callback may be NULL.
  */
 struct watch_handler {
 	SLIST_ENTRY(watch_handler) link; /* set by watch_register */
-	const char *prefix; /* as "lp/w/inbox/" */
+	const char *prefix; /* such as "lp/w/inbox/" */
 	void (*reload_begin)(void *ctx);
 	void (*on_put)(const struct store_kv *, void *ctx);
 	void (*on_delete)(const char *key, int64_t revision, void *ctx);
@@ -159,90 +159,103 @@
 
 /* The handler must live as long as the entry. */
 void watch_register(struct entry *, struct watch_handler *);
-/* Whether everything has been loaded once. */
+/* Whether the first load is complete. */
 bool watch_loaded(const struct entry *);
 /*
- * The operators' records in force here; never NULL after conf_watch's open.
- * The mesh exports from it and imports into it.
+ * The operators' records in force at this entry; never NULL once conf_watch is
+ * open.  The mesh exports its records to peers and imports theirs.
  */
 struct conf *entry_conf(const struct entry *);
 
 /*
- * mesh.c: the other entries.  Judge them with member_evaluate(), take over only
- * while member_may_act(), and tell of owned shards with member_own_shard().
+ * mesh.c: the other entries.  Use member_evaluate() for their state, take over
+ * their shards only while member_may_act(), and announce owned shards with
+ * member_own_shard().
  */
 struct members *mesh_members(const struct entry *);
-/* A peer's message; the payload is valid only during the call. */
+/* Handles a peer's message; the payload is valid only during the call. */
 typedef void mesh_handler(struct entry *, const struct wire_header *,
     const void *payload, size_t len, void *ctx);
 void mesh_handle(struct entry *, enum wire_type, mesh_handler *, void *ctx);
-/* false: certainly not sent; counted. */
+/* Returns false if the message was not sent, which is counted. */
 bool mesh_send(struct entry *, const char *peer, enum wire_type,
     const void *payload, size_t len);
 
 /*
- * lend.c: the credits for calls to endpoints.  For the batch side, which owns
- * shards:
+ * lend.c: the credits for calls to endpoints.
  *
- * The worker's answer to the first fence at this epoch.  The epoch must have
- * been raised by this process: after a restart of the owner too.
+ * The following are for the batch module, which owns shards.
+ */
+
+/*
+ * Issue the credits of a worker after it confirmed the first fence at this
+ * epoch; used is what it reported then.  This process must have raised the
+ * epoch itself: after a restart the owner raises it anew.
  */
 void lend_issue(struct entry *, const char *worker, uint64_t epoch,
     struct credit_amount used);
-/* What a renewal at this epoch reports. */
+/* Record the usage that the worker reported in a renewal at this epoch. */
 void lend_report(struct entry *, const char *worker, uint64_t epoch,
     const struct credit_usage *);
-/* So many slots of an owned shard are lost: raise its epoch when it suits. */
+/*
+ * Called when credits for so many slots of an owned shard are lost; raising the
+ * epoch of the shard recovers them.
+ */
 typedef void lend_lost(struct entry *, const char *shard, int slots, void *ctx);
 void lend_on_lost(struct entry *, lend_lost *, void *ctx);
 
 /*
- * For the callers' side.  A row stays valid, at the same address, until its
- * VM is gone and its last call has ended; while the worker is leaving its
- * spare credits can't be taken.  on_change tells of every change of a row; it
- * must not take or release from within.
+ * The following are for the callers module.  A row stays valid, at the same
+ * address, until its VM is gone and its last call has ended.  The spare credits
+ * of a draining worker can't be taken.  The callback is run at each change of a
+ * row; it must not take or release credits.
  */
 typedef void lend_changed(
     struct entry *, const struct credit_worker *, void *ctx);
 void lend_on_change(struct entry *, lend_changed *, void *ctx);
-/* Rows to begin with; NULL at the end.  Which service, the fleet tells. */
+/*
+ * Iterate over the rows; NULL at the end.  The fleet has the service of each
+ * worker.
+ */
 const struct credit_worker *lend_first(struct entry *);
 const struct credit_worker *lend_next(const struct credit_worker *);
-/* Of all workers that aren't leaving. */
+/* Spare credits at all workers that aren't draining. */
 struct credit_amount lend_spare(const struct entry *);
 struct lending_load lend_load(struct entry *);
-/* CREDIT_OK: dispatch with this epoch. */
+/* Take the credits for a call.  CREDIT_OK: dispatch it with this epoch. */
 enum credit_error lend_take(
     struct entry *, const char *worker, enum credit_kind, uint64_t *epoch);
 /*
- * CREDIT_ENDED only when the whole answer came, the endpoint refused, or
- * nothing was sent.  A caller that gave up, or a deadline, isn't the end: the
- * call still runs there.  Keep reading for its answer and release then; if the
- * connection breaks, or you close it, that is CREDIT_ABANDONED.
+ * Release the credits of a call.  Use CREDIT_ENDED only if the whole response
+ * arrived, the endpoint refused the call, or nothing was sent.  After a
+ * deadline or when the caller has disconnected, the call still runs at the
+ * endpoint: keep reading until its response is complete and release then.  If
+ * the connection breaks or is closed first, use CREDIT_ABANDONED.
  */
 void lend_release(struct entry *, const char *worker, uint64_t epoch,
     enum credit_kind, enum credit_end);
-/* The endpoint refused with "fenced": this epoch's credits are void. */
+/* The endpoint refused with "fenced": credits of this epoch are void. */
 void lend_fenced(struct entry *, const char *worker, uint64_t epoch);
 /*
- * So many calls of the service wait here for want of credits.  Call it for
- * each that begins to wait, and each tick while some wait: it asks a peer, one
- * request at a time and at a bounded rate.  Credits that come show up through
- * on_change.  false: no peer seems to have any, or asked too often.
+ * Request credits for the calls of a service that wait here.  To be called for
+ * each call that begins to wait, and on each tick while some wait; it sends one
+ * request to a peer at a time, at a bounded rate.  The callback of
+ * lend_on_change() reports credits that arrive.  Returns false if no peer is
+ * known to have credits to spare or the rate limit is reached.
  */
 bool lend_request(
     struct entry *, const char *service, enum credit_kind, int waiting);
 
 /*
- * batch.c: shards, ledgers and tasks.  It tells lend.c of fences and renewals.
+ * batch.c: shards, ledgers and tasks.  It passes fences and renewals to lend.c.
  *
- * Whether this entry owns the shard, and at which epoch.
+ * Returns whether this entry owns the shard, and its epoch.
  */
 bool batch_owner_epoch(
     const struct entry *, const char *shard, uint64_t *epoch);
 
 /*
- * The operators' API that lagoonpinctl uses; each part answers its own paths
+ * The operators' API that lagoonpinctl uses; each module answers its own paths
  * in its http().  Lists hold flat objects, which are printed as columns.
  *
  * mesh:	GET /v1/entries -> {"entries":[{"id","listen":"IP:PORT",
@@ -257,18 +270,18 @@
  * all:		GET /v1/explain/KIND/ID -> {"explain":[{"at_ms","what",...}]}
  */
 
-/* reply.c: answers of the operators' API, all JSON. */
+/* reply.c: responses of the operators' API, all JSON. */
 struct json_t;
-/* Takes the reference of the body. */
+/* Steals the reference to the body. */
 void reply_json(struct httpd_request *, int status, struct json_t *body);
 /* {"error":ERROR,"field":FIELD,"message":...}; field may be NULL. */
 void reply_error(struct httpd_request *, int status, const char *error,
     const char *field, const char *message);
-/* As reply_error with a Retry-After header, for what may succeed later. */
+/* As reply_error(), with a Retry-After header. */
 void reply_retry(struct httpd_request *, int status, const char *error,
     const char *message, int64_t retry_after_s);
 
-/* Start the graceful shutdown, as SIGTERM does. */
+/* Start a graceful shutdown, as SIGTERM does. */
 void entry_drain(struct entry *);
 
 #endif /* LAGOONPIND_H */
--- a/lagoonpind/main.c
+++ b/lagoonpind/main.c
@@ -12,17 +12,22 @@
 #include "log.h"
 #include "platform.h"
 
-/* Bodies of operators' records and of calls just over the limit are read so
- * that they can be refused by name; h2o refuses what is larger. */
+/*
+ * Bodies that exceed the limit of a record or a call by at most this much
+ * are read and refused with a specific error; h2o refuses larger ones.
+ */
 #define BODY_SLACK_BYTES (256 << 10)
-/* libcurl keeps four for each call in flight otherwise, and a quiet entry
- * would connect anew for nearly every call: a round trip each. */
+/*
+ * By default libcurl keeps four idle connections for each call in flight: an
+ * entry with few calls would open a connection, which costs a round trip, for
+ * nearly every call.
+ */
 #define ENDPOINT_IDLE_MAX 2048
 #define STORE_URL_SIZE (SETTING_IP_SIZE + 24)
 
 static void open_clients(struct entry *);
 static void open_store(struct entry *);
-static void open_parts(struct entry *);
+static void open_modules(struct entry *);
 static void open_server(struct entry *);
 static void start_tick(struct entry *);
 static void on_tick(uv_timer_t *);
@@ -50,10 +55,10 @@
 					    e->incarnation) >>
 		    1);
 	if (uv_loop_init(&e->loop) != 0)
-		errx(1, "can't make an event loop");
+		errx(1, "can't initialize the event loop");
 	open_clients(e);
 	open_store(e);
-	open_parts(e);
+	open_modules(e);
 	open_server(e);
 	start_tick(e);
 	log_info("started", "listen=%s:%d incarnation=%llu", e->opt.listen.ip,
@@ -108,13 +113,13 @@
 }
 
 static void
-open_parts(struct entry *e)
+open_modules(struct entry *e)
 {
 	size_t i;
 
 	for (i = 0; i < nmodules; i++) {
 		if (modules[i]->open != NULL && modules[i]->open(e) == -1)
-			errx(1, "%s: can't be opened", modules[i]->name);
+			errx(1, "%s: can't open the module", modules[i]->name);
 	}
 }
 
@@ -167,7 +172,7 @@
 		check_drained(e, now_ms);
 }
 
-/* A first signal starts the graceful shutdown, a second one ends it. */
+/* The first signal starts a graceful shutdown, the second one cuts it short. */
 static void
 on_signal(uv_signal_t *handle, int signum)
 {
--- a/lagoonpind/mesh.c
+++ b/lagoonpind/mesh.c
@@ -9,8 +9,8 @@
 #include "wireconf.h"
 
 /*
- * The other entries: who lives, messages to and from them, and the
- * configuration that passes between them.
+ * The other entries: membership, messages to and from them, and the exchange of
+ * configuration records.
  */
 
 /*
@@ -19,15 +19,15 @@
  */
 #define DIGEST_RECORDS 16
 #define FORGET_MS 600000
-#define QUEUE_MAX 128 /* messages for one peer, each way */
+#define QUEUE_MAX 128 /* messages queued for a peer, in each direction */
 /*
- * Probes go out on every connection, two for each other entry: at 80 entries
- * more than one in two minutes would cost more than the heartbeats.
+ * TCP keep-alive probes are sent on each connection, two connections for each
+ * other entry: at 80 entries, a shorter interval than two minutes would cost
+ * more than the heartbeats.
  */
 #define KEEPALIVE_S 120
-#define FAREWELL_MS                                              \
-	300 /* from the last message to the close of the sockets \
-	     */
+/* From the announcement of leaving to the close of the sockets. */
+#define LEAVE_LINGER_MS 300
 
 static int mesh_open(struct entry *);
 static void mesh_tick(struct entry *, int64_t);
@@ -37,18 +37,18 @@
 static void mesh_close(struct entry *);
 static bool open_members(struct mesh *);
 static bool open_sockets(struct mesh *);
-static bool others_drained(const struct entry *);
+static bool other_modules_drained(const struct entry *);
 static void update_self(struct mesh *, int64_t);
 static void on_send(
     const struct member *, const struct member_digest *, void *);
 static void on_paused(int64_t, void *);
 static void on_message(const void *, size_t, void *);
-static bool is_former(const struct mesh *, const struct wire_header *);
+static bool is_old_incarnation(const struct mesh *, const struct wire_header *);
 static void on_gossip(
     struct entry *, const struct wire_header *, const void *, size_t, void *);
 static void on_config(
     struct entry *, const struct wire_header *, const void *, size_t, void *);
-static void pass_config(struct mesh *, const struct member_record *);
+static void send_config(struct mesh *, const struct member_record *);
 
 const struct module mesh_module = {
 	.name = "mesh",
@@ -189,7 +189,7 @@
 	member_set_vm(mesh_members(e), vm->info.id, state, clock_now_ms());
 }
 
-/* Everybody hears at once that this entry leaves. */
+/* Announces to all members at once that this entry is leaving. */
 static void
 mesh_drain(struct entry *e, int64_t now_ms)
 {
@@ -198,7 +198,7 @@
 }
 
 static bool
-others_drained(const struct entry *e)
+other_modules_drained(const struct entry *e)
 {
 	size_t i;
 
@@ -210,7 +210,10 @@
 	return true;
 }
 
-/* Once all else is done: "left", so that others replace it without delay. */
+/*
+ * After all other modules have drained, announces MEMBER_LEFT, so that others
+ * take over without waiting for silence, and leaves time to send it.
+ */
 static bool
 mesh_drained(const struct entry *e)
 {
@@ -219,17 +222,17 @@
 
 	now_ms = clock_now_ms();
 	if (mesh->left_ms == 0) {
-		if (!others_drained(e))
+		if (!other_modules_drained(e))
 			return false;
 		mesh->left_ms = now_ms;
 		member_self(mesh->members)->state = MEMBER_LEFT;
 		member_announce(mesh->members, now_ms);
 		registry_leave(mesh);
 	}
-	return now_ms - mesh->left_ms >= FAREWELL_MS;
+	return now_ms - mesh->left_ms >= LEAVE_LINGER_MS;
 }
 
-/* The store calls back once more when it closes, so mesh itself stays. */
+/* Keeps the struct: pending store callbacks run when the store closes. */
 static void
 mesh_close(struct entry *e)
 {
@@ -247,8 +250,8 @@
 mesh_handle(
     struct entry *e, enum wire_type type, mesh_handler *handler, void *ctx)
 {
-	e->mesh->slots[type].handler = handler;
-	e->mesh->slots[type].ctx = ctx;
+	e->mesh->handlers[type].handler = handler;
+	e->mesh->handlers[type].ctx = ctx;
 }
 
 bool
@@ -303,7 +306,7 @@
 }
 
 static bool
-is_former(const struct mesh *mesh, const struct wire_header *header)
+is_old_incarnation(const struct mesh *mesh, const struct wire_header *header)
 {
 	const struct member *member;
 
@@ -327,17 +330,17 @@
 		wire_refused("own_id");
 		return;
 	}
-	/* A process that was replaced under its id goes on until it notices. */
-	if (is_former(mesh, &header)) {
+	/* A replaced process runs on until it learns of its successor. */
+	if (is_old_incarnation(mesh, &header)) {
 		wire_refused("old_incarnation");
 		return;
 	}
-	if (mesh->slots[header.type].handler == NULL) {
+	if (mesh->handlers[header.type].handler == NULL) {
 		wire_refused("unhandled_type");
 		return;
 	}
-	mesh->slots[header.type].handler(mesh->entry, &header, payload,
-	    payload_len, mesh->slots[header.type].ctx);
+	mesh->handlers[header.type].handler(mesh->entry, &header, payload,
+	    payload_len, mesh->handlers[header.type].ctx);
 }
 
 static void
@@ -355,15 +358,16 @@
 		return;
 	}
 	member_merge(mesh_members(e), &digest, clock_now_ms());
-	pass_config(e->mesh, &digest.records[0]);
+	send_config(e->mesh, &digest.records[0]);
 }
 
 /*
- * A peer with a lower revision gets what it lacks.  One that the store answers
- * is told only of records: that its watch lags by a progress note is no need.
+ * Sends a peer at a lower revision the records that it lacks.  A delta without
+ * records is sent only to a peer that the store doesn't answer: others advance
+ * with the next progress notification of their own watch.
  */
 static void
-pass_config(struct mesh *mesh, const struct member_record *peer)
+send_config(struct mesh *mesh, const struct member_record *peer)
 {
 	const struct conf *conf;
 	struct conf_delta delta;
--- a/lagoonpind/mesh.h
+++ b/lagoonpind/mesh.h
@@ -6,13 +6,13 @@
 #include "peer.h"
 #include "wire.h"
 
-/* What mesh.c, registry.c and entries.c share. */
+/* Shared by mesh.c, registry.c, seed.c and entries.c. */
 
 enum registry_step {
 	REGISTRY_NONE, /* no lease */
-	REGISTRY_BUSY, /* a call to the store is under way */
-	REGISTRY_LEASED, /* a lease, but the key isn't known to be written */
-	REGISTRY_WRITTEN /* the key is written under the lease */
+	REGISTRY_BUSY, /* a store request is in flight */
+	REGISTRY_LEASED, /* lease granted, key not known to be written */
+	REGISTRY_WRITTEN /* key written under the lease */
 };
 
 struct registry {
@@ -20,7 +20,7 @@
 	enum registry_step step;
 	int64_t lease; /* 0: none */
 	int64_t key_revision; /* of this entry's key, as last seen; 0: none */
-	int64_t next_ms; /* for the next call */
+	int64_t next_ms; /* no store request before */
 	bool replaced; /* a later incarnation of this entry is registered */
 	bool revoking;
 };
@@ -34,20 +34,20 @@
 	struct entry *entry;
 	struct members *members;
 	struct peer *peer;
-	struct mesh_handler_entry slots[WIRE_TYPE_END];
+	struct mesh_handler_entry handlers[WIRE_TYPE_END];
 	struct registry registry;
 	uint64_t sequence;
 	int64_t next_ms;
-	bool seeding; /* connections of first contact are open */
-	int64_t left_ms; /* when it said that it left; 0: not yet */
+	bool seeding; /* connections of seed.c are open */
+	int64_t left_ms; /* when MEMBER_LEFT was announced; 0: not yet */
 };
 
 void registry_open(struct mesh *);
 void registry_tick(struct mesh *, int64_t now_ms);
-/* Delete the key with its lease: this entry has left. */
+/* Revoke the lease, which deletes the key: this entry has left. */
 void registry_leave(struct mesh *);
 
-/* Each heartbeat: first contact with peers, while none is known. */
+/* Contact seed addresses while no peer is known; run each heartbeat. */
 void seed_tick(struct mesh *);
 
 bool entries_http(struct entry *, struct httpd_request *);
--- a/lagoonpind/operators.c
+++ b/lagoonpind/operators.c
@@ -24,9 +24,9 @@
     struct entry *, struct httpd_request *, enum record_kind, const char *);
 static void serve_list(
     struct entry *, struct httpd_request *, enum record_kind);
-static bool set_fault(
+static bool set_record_fault(
     struct record_fault *, enum record_error, const char *, const char *);
-static bool check_body(json_t *, int64_t *, struct record_fault *);
+static bool validate_body(json_t *, int64_t *, struct record_fault *);
 static bool parse_change(struct httpd_request *, enum record_kind, const char *,
     int64_t *, struct record *);
 static void serve_put(
@@ -37,7 +37,7 @@
 static void serve_explain(
     struct entry *, struct httpd_request *, const char *, char);
 
-/* Paths under /v1/, by kind. */
+/* Collections under /v1/, by kind. */
 static const char *const collections[] = { "services", "teams", "policy" };
 
 const struct module operators_module = {
@@ -74,8 +74,7 @@
 	return LIST_EMPTY(&e->operators->changes);
 }
 
-/* The store's last callbacks still need the struct; it lives as long as the
- * process. */
+/* Keeps the struct: pending store callbacks use it. */
 static void
 operators_close(struct entry *e)
 {
@@ -122,7 +121,7 @@
 	return true;
 }
 
-/* /v1/services, /v1/services/NAME, ..., /v1/policy; name NULL: all. */
+/* Parses /v1/services, /v1/services/NAME, ..., /v1/policy; name NULL: list. */
 static bool
 parse_path(const char *path, enum record_kind *kind, const char **name)
 {
@@ -248,7 +247,7 @@
 }
 
 static bool
-set_fault(struct record_fault *fault, enum record_error error,
+set_record_fault(struct record_fault *fault, enum record_error error,
     const char *field, const char *detail)
 {
 	fault->error = error;
@@ -257,40 +256,45 @@
 	return false;
 }
 
-/* {"revision":N,"record":{...}} and nothing else. */
+/* Accepts only {"revision":N,"record":{...}}. */
 static bool
-check_body(json_t *body, int64_t *seen, struct record_fault *fault)
+validate_body(
+    json_t *body, int64_t *expected_revision, struct record_fault *fault)
 {
-	static const char what[] = "the revision you saw, 0 to create";
+	static const char revision_detail[] =
+	    "the record's current revision, 0 to create it";
 	json_t *revision, *value;
 	const char *name;
 
 	if (!json_is_object(body))
-		return set_fault(fault, RECORD_ERR_JSON, "", "");
+		return set_record_fault(fault, RECORD_ERR_JSON, "", "");
 	json_object_foreach(body, name, value)
 	{
 		if (strcmp(name, "revision") != 0 &&
 		    strcmp(name, "record") != 0)
-			return set_fault(
+			return set_record_fault(
 			    fault, RECORD_ERR_UNKNOWN_FIELD, name, "");
 	}
 	if ((revision = json_object_get(body, "revision")) == NULL)
-		return set_fault(
-		    fault, RECORD_ERR_MISSING_FIELD, "revision", what);
+		return set_record_fault(fault, RECORD_ERR_MISSING_FIELD,
+		    "revision", revision_detail);
 	if (!json_is_integer(revision))
-		return set_fault(fault, RECORD_ERR_TYPE, "revision", what);
+		return set_record_fault(
+		    fault, RECORD_ERR_TYPE, "revision", revision_detail);
 	if (json_integer_value(revision) < 0)
-		return set_fault(fault, RECORD_ERR_RANGE, "revision", what);
+		return set_record_fault(
+		    fault, RECORD_ERR_RANGE, "revision", revision_detail);
 	if (json_object_get(body, "record") == NULL)
-		return set_fault(fault, RECORD_ERR_MISSING_FIELD, "record", "");
-	*seen = json_integer_value(revision);
+		return set_record_fault(
+		    fault, RECORD_ERR_MISSING_FIELD, "record", "");
+	*expected_revision = json_integer_value(revision);
 	return true;
 }
 
-/* Refuses and returns false if anything about the change is wrong. */
+/* Answers the request and returns false if the change is invalid. */
 static bool
 parse_change(struct httpd_request *r, enum record_kind kind, const char *name,
-    int64_t *seen, struct record *record)
+    int64_t *expected_revision, struct record *record)
 {
 	struct record_fault fault = { 0 };
 	const char *text;
@@ -301,17 +305,17 @@
 	dumped = NULL;
 	text = httpd_body(r, &len);
 	body = json_loadb(text, len, JSON_REJECT_DUPLICATES, NULL);
-	if (!check_body(body, seen, &fault))
+	if (!validate_body(body, expected_revision, &fault))
 		goto out;
 	dumped = json_dumps(
 	    json_object_get(body, "record"), JSON_COMPACT | JSON_ENCODE_ANY);
 	if (dumped == NULL)
-		set_fault(&fault, RECORD_ERR_MEMORY, "", "");
+		set_record_fault(&fault, RECORD_ERR_MEMORY, "", "");
 	else if (record_parse(kind, dumped, strlen(dumped), record, &fault) ==
 		RECORD_OK &&
 	    strcmp(record->name, name) != 0)
-		set_fault(&fault, RECORD_ERR_NAME, "name",
-		    "must be the name in the path");
+		set_record_fault(&fault, RECORD_ERR_NAME, "name",
+		    "must equal the name in the path");
 out:
 	free(dumped);
 	json_decref(body);
@@ -324,35 +328,36 @@
 serve_put(struct entry *e, struct httpd_request *r, enum record_kind kind,
     const char *name)
 {
-	struct change_request want = { 0 };
+	struct change_request change = { 0 };
 	struct record record;
 
-	if (!parse_change(r, kind, name, &want.seen, &record))
+	if (!parse_change(r, kind, name, &change.expected_revision, &record))
 		return;
-	want.kind = kind;
-	want.name = record.name;
-	want.record = &record;
-	change_start(e->operators, r, &want);
+	change.kind = kind;
+	change.name = record.name;
+	change.record = &record;
+	change_start(e->operators, r, &change);
 }
 
 static void
 serve_delete(struct entry *e, struct httpd_request *r, enum record_kind kind,
     const char *name)
 {
-	struct change_request want = { .kind = kind, .name = name };
+	struct change_request change = { .kind = kind, .name = name };
 
 	if (kind != RECORD_POLICY && !record_name_ok(name)) {
 		reply_error(r, 404, "not_found", NULL, "no such record");
 		return;
 	}
-	if (!query_number(httpd_query(r), "revision", &want.seen) ||
-	    want.seen == 0) {
+	if (!query_number(
+		httpd_query(r), "revision", &change.expected_revision) ||
+	    change.expected_revision == 0) {
 		counter_reason("lagoonpin_operator_refused", "missing_field");
 		reply_error(r, 400, "missing_field", "revision",
-		    "say ?revision=N with the revision you saw");
+		    "add ?revision=N with the record's current revision");
 		return;
 	}
-	change_start(e->operators, r, &want);
+	change_start(e->operators, r, &change);
 }
 
 static void
@@ -383,7 +388,7 @@
 		watch_loaded(e), "records", n, "bad_record", bad));
 }
 
-/* KIND/ID from the path, or KIND=ID from the query. */
+/* Parses KIND/ID in the path, or KIND=ID in the query. */
 static void
 serve_explain(
     struct entry *e, struct httpd_request *r, const char *text, char separator)
--- a/lagoonpind/owners.c
+++ b/lagoonpind/owners.c
@@ -4,16 +4,16 @@
 #include "counter.h"
 #include "lend.h"
 
-/* What borrowers tell the owners of their credits, and return to them. */
+/* Reports from borrowers to owners of credits, and the return of credits. */
 
 static void send_by_owner(
     struct entry *, enum wire_type, struct wire_transfers *);
-static void state_row(struct wire_transfers *, const struct credit_worker *);
+static void report_row(struct wire_transfers *, const struct credit_worker *);
 static void on_held(
     struct entry *, const struct wire_header *, const void *, size_t, void *);
 static void on_abandoned(
     struct entry *, const struct wire_header *, const void *, size_t, void *);
-static void give_back(
+static void return_credits(
     const struct credit_worker *, struct credit_amount, void *);
 
 void
@@ -23,7 +23,7 @@
 	mesh_handle(e, WIRE_HELD, on_held, NULL);
 }
 
-/* A hint for the owner; what doesn't fit into one message is left out. */
+/* Only a hint for the owner: what exceeds one message is dropped. */
 void
 owners_abandoned(
     struct lend *lend, const struct credit_worker *row, enum credit_kind kind)
@@ -42,7 +42,7 @@
 	item->amount.connections = 1;
 }
 
-/* Tells each owner its part of all; leaves all empty. */
+/* Sends each owner its items of all, and empties all. */
 static void
 send_by_owner(struct entry *e, enum wire_type type, struct wire_transfers *all)
 {
@@ -90,9 +90,9 @@
 		    transfers.items[i].amount);
 }
 
-/* Add a row to the statement; a shard has one item. */
+/* Adds a row to the holding report, which has an item for each shard. */
 static void
-state_row(struct wire_transfers *all, const struct credit_worker *row)
+report_row(struct wire_transfers *all, const struct credit_worker *row)
 {
 	struct credit_transfer *item;
 	size_t i;
@@ -129,7 +129,7 @@
 	all.count = 0;
 	for (row = credit_first(e->lend->table); row != NULL;
 	     row = credit_next(row))
-		state_row(&all, row);
+		report_row(&all, row);
 	send_by_owner(e, WIRE_HELD, &all);
 }
 
@@ -149,30 +149,31 @@
 		    in.items[i].amount.slots, clock_now_ms());
 }
 
-/* One message for each row: rows that lie idle are few at any one time. */
+/* Sends a message for each row; few rows are idle at any one time. */
 static void
-give_back(const struct credit_worker *row, struct credit_amount idle, void *ctx)
+return_credits(
+    const struct credit_worker *row, struct credit_amount idle, void *ctx)
 {
 	static struct wire_transfers transfers;
 	struct entry *e = ctx;
 	struct credit_peer owner;
-	struct credit_amount back;
+	struct credit_amount returned;
 	const struct member *member;
 
 	member = member_find(mesh_members(e), row->owner);
 	if (row->issued || member == NULL)
 		return;
-	back = row->spare;
+	returned = row->spare;
 	if (e->phase == ENTRY_RUNNING)
-		back = lending_return(
+		returned = lending_return(
 		    idle, row->spare, credit_spare(e->lend->table));
-	if (back.connections == 0 ||
+	if (returned.connections == 0 ||
 	    member_evaluate(mesh_members(e), row->owner, 0, clock_now_ms())
 		    .state != MEMBER_ALIVE)
 		return;
 	owner.peer = row->owner;
 	owner.incarnation = member->record.incarnation;
-	if (credit_give(e->lend->table, row->worker, &owner, back,
+	if (credit_give(e->lend->table, row->worker, &owner, returned,
 		&transfers.items[0]) != CREDIT_OK)
 		return;
 	transfers.service[0] = '\0';
@@ -187,5 +188,5 @@
 void
 owners_return(struct entry *e)
 {
-	credit_idle(e->lend->table, give_back, e);
+	credit_idle(e->lend->table, return_credits, e);
 }
--- a/lagoonpind/registry.c
+++ b/lagoonpind/registry.c
@@ -10,26 +10,26 @@
 #include "mesh.h"
 
 /*
- * The registry: lp/w/entry/ID, under a store lease.  A lapsed lease is one of
- * the witnesses that an entry is dead.
+ * The registry: the key lp/w/entry/ID under a store lease.  An expired lease is
+ * one source of evidence that an entry is dead.
  */
 
-#define PREFIX "lp/w/entry/"
-#define KEY_SIZE (sizeof(PREFIX) + MEMBER_ID_MAX)
+#define KEY_PREFIX "lp/w/entry/"
+#define KEY_SIZE (sizeof(KEY_PREFIX) + MEMBER_ID_MAX)
 #define SCHEMA 1
 #define RETRY_MS 1000
 #define RENEWALS_PER_LEASE 3
 
-static void granted(const struct store_lease_result *, void *);
-static void renewed(const struct store_lease_result *, void *);
-static void revoked(const struct store_lease_result *, void *);
-static void grant(struct mesh *);
-static void renew(struct mesh *);
-static void put(struct mesh *);
-static void put_done(const struct store_txn_result *, void *);
-static void other_found(struct mesh *, const struct store_kv *);
+static void on_grant(const struct store_lease_result *, void *);
+static void on_renew(const struct store_lease_result *, void *);
+static void on_revoke(const struct store_lease_result *, void *);
+static void grant_lease(struct mesh *);
+static void renew_lease(struct mesh *);
+static void put_key(struct mesh *);
+static void on_put_done(const struct store_txn_result *, void *);
+static void on_unexpected_key(struct mesh *, const struct store_kv *);
 static char *own_value(const struct mesh *);
-static bool parse(
+static bool parse_record(
     const struct store_kv *, struct member_record *, char *, size_t);
 static bool copy_field(const json_t *, const char *, char *, size_t);
 static void on_put(const struct store_kv *, void *);
@@ -37,7 +37,7 @@
 static void on_reload_begin(void *);
 static void on_reload_end(int64_t, void *);
 static bool is_own(const struct mesh *, const char *);
-static void replaced(struct mesh *, uint64_t);
+static void on_replaced(struct mesh *, uint64_t);
 
 void
 registry_open(struct mesh *mesh)
@@ -45,7 +45,7 @@
 	struct watch_handler *watch;
 
 	watch = &mesh->registry.watch;
-	watch->prefix = PREFIX;
+	watch->prefix = KEY_PREFIX;
 	watch->reload_begin = on_reload_begin;
 	watch->on_put = on_put;
 	watch->on_delete = on_delete;
@@ -65,26 +65,26 @@
 		return;
 	r->next_ms = now_ms + RETRY_MS;
 	if (r->step == REGISTRY_NONE)
-		grant(mesh);
+		grant_lease(mesh);
 	else if (r->step == REGISTRY_LEASED)
-		put(mesh);
+		put_key(mesh);
 	else
-		renew(mesh);
+		renew_lease(mesh);
 }
 
 static void
-grant(struct mesh *mesh)
+grant_lease(struct mesh *mesh)
 {
 	struct entry *e;
 
 	e = mesh->entry;
-	if (store_lease_grant(e->store, e->opt.registry_ttl_s, granted, mesh) ==
-	    STORE_OK)
+	if (store_lease_grant(
+		e->store, e->opt.registry_ttl_s, on_grant, mesh) == STORE_OK)
 		mesh->registry.step = REGISTRY_BUSY;
 }
 
 static void
-granted(const struct store_lease_result *result, void *ctx)
+on_grant(const struct store_lease_result *result, void *ctx)
 {
 	struct mesh *mesh = ctx;
 	struct registry *r = &mesh->registry;
@@ -101,20 +101,20 @@
 }
 
 static void
-renew(struct mesh *mesh)
+renew_lease(struct mesh *mesh)
 {
 	struct registry *r = &mesh->registry;
 	struct entry *e = mesh->entry;
 
 	r->next_ms =
 	    clock_now_ms() + e->opt.registry_ttl_s * 1000 / RENEWALS_PER_LEASE;
-	if (store_lease_keepalive(e->store, r->lease, renewed, mesh) ==
+	if (store_lease_keepalive(e->store, r->lease, on_renew, mesh) ==
 	    STORE_OK)
 		r->step = REGISTRY_BUSY;
 }
 
 static void
-renewed(const struct store_lease_result *result, void *ctx)
+on_renew(const struct store_lease_result *result, void *ctx)
 {
 	struct mesh *mesh = ctx;
 	struct registry *r = &mesh->registry;
@@ -164,7 +164,7 @@
  * own old incarnation back.
  */
 static void
-put(struct mesh *mesh)
+put_key(struct mesh *mesh)
 {
 	struct registry *r = &mesh->registry;
 	struct store_compare compare;
@@ -174,7 +174,7 @@
 
 	if ((value = own_value(mesh)) == NULL)
 		return;
-	snprintf(key, sizeof(key), PREFIX "%s", mesh->entry->opt.id);
+	snprintf(key, sizeof(key), KEY_PREFIX "%s", mesh->entry->opt.id);
 	memset(&compare, 0, sizeof(compare));
 	compare.key = key;
 	compare.target = STORE_MOD_REVISION;
@@ -196,13 +196,13 @@
 	txn.nsuccess = 1;
 	txn.failure = &read;
 	txn.nfailure = 1;
-	if (store_txn(mesh->entry->store, &txn, put_done, mesh) == STORE_OK)
+	if (store_txn(mesh->entry->store, &txn, on_put_done, mesh) == STORE_OK)
 		r->step = REGISTRY_BUSY;
 	free(value);
 }
 
 static void
-put_done(const struct store_txn_result *result, void *ctx)
+on_put_done(const struct store_txn_result *result, void *ctx)
 {
 	struct mesh *mesh = ctx;
 	struct registry *r = &mesh->registry;
@@ -211,7 +211,7 @@
 	if (result->error != STORE_OK) {
 		counter_reason("lagoonpin_registry_failures",
 		    store_strerror(result->error));
-		/* The lease may have lapsed meanwhile: start over. */
+		/* The lease may have expired meanwhile: start again. */
 		if (result->error != STORE_ERR_UNAVAILABLE)
 			r->step = REGISTRY_NONE;
 		return;
@@ -226,29 +226,32 @@
 	}
 	r->next_ms = 0;
 	if (result->nops == 1 && result->ops[0].nkvs == 1)
-		other_found(mesh, &result->ops[0].kvs[0]);
+		on_unexpected_key(mesh, &result->ops[0].kvs[0]);
 	else
 		r->key_revision = 0;
 }
 
-/* The key holds something else than was seen: our own, older, or newer. */
+/*
+ * The key isn't at the expected revision.  A later incarnation replaces this
+ * entry; otherwise the next attempt compares with the revision found here.
+ */
 static void
-other_found(struct mesh *mesh, const struct store_kv *kv)
+on_unexpected_key(struct mesh *mesh, const struct store_kv *kv)
 {
 	struct registry *r = &mesh->registry;
 	struct member_record record;
 	char listen[MEMBER_ADDRESS_MAX];
 
-	if (parse(kv, &record, listen, sizeof(listen)) &&
+	if (parse_record(kv, &record, listen, sizeof(listen)) &&
 	    record.incarnation > mesh->entry->incarnation) {
-		replaced(mesh, record.incarnation);
+		on_replaced(mesh, record.incarnation);
 		return;
 	}
 	r->key_revision = kv->mod_revision;
 }
 
 static void
-replaced(struct mesh *mesh, uint64_t incarnation)
+on_replaced(struct mesh *mesh, uint64_t incarnation)
 {
 	if (mesh->registry.replaced)
 		return;
@@ -267,12 +270,12 @@
 
 	if (r->revoking || r->replaced || r->lease == 0)
 		return;
-	r->revoking = store_lease_revoke(mesh->entry->store, r->lease, revoked,
-			  mesh) == STORE_OK;
+	r->revoking = store_lease_revoke(mesh->entry->store, r->lease,
+			  on_revoke, mesh) == STORE_OK;
 }
 
 static void
-revoked(const struct store_lease_result *result, void *ctx)
+on_revoke(const struct store_lease_result *result, void *ctx)
 {
 	struct mesh *mesh = ctx;
 
@@ -290,16 +293,16 @@
 }
 
 static bool
-parse(const struct store_kv *kv, struct member_record *record, char *listen,
-    size_t size)
+parse_record(const struct store_kv *kv, struct member_record *record,
+    char *listen, size_t size)
 {
 	json_t *object, *incarnation;
-	bool good;
+	bool valid;
 
 	memset(record, 0, sizeof(*record));
 	object = json_loadb(kv->value, kv->len, JSON_REJECT_DUPLICATES, NULL);
 	incarnation = json_object_get(object, "incarnation");
-	good =
+	valid =
 	    json_integer_value(json_object_get(object, "schema")) == SCHEMA &&
 	    copy_field(object, "id", record->id, sizeof(record->id)) &&
 	    copy_field(
@@ -308,17 +311,17 @@
 		sizeof(record->data_center)) &&
 	    copy_field(object, "listen", listen, size) &&
 	    json_is_integer(incarnation) &&
-	    strcmp(kv->key + strlen(PREFIX), record->id) == 0;
-	if (good)
+	    strcmp(kv->key + strlen(KEY_PREFIX), record->id) == 0;
+	if (valid)
 		record->incarnation = (uint64_t)json_integer_value(incarnation);
 	json_decref(object);
-	return good;
+	return valid;
 }
 
 static bool
 is_own(const struct mesh *mesh, const char *key)
 {
-	return strcmp(key + strlen(PREFIX), mesh->entry->opt.id) == 0;
+	return strcmp(key + strlen(KEY_PREFIX), mesh->entry->opt.id) == 0;
 }
 
 static void
@@ -328,7 +331,7 @@
 	struct member_record record;
 	char listen[MEMBER_ADDRESS_MAX];
 
-	if (!parse(kv, &record, listen, sizeof(listen))) {
+	if (!parse_record(kv, &record, listen, sizeof(listen))) {
 		counter_reason("lagoonpin_registry_failures", "bad_record");
 		log_warn("bad_registry_record", "key=%s", kv->key);
 		return;
@@ -336,7 +339,7 @@
 	if (is_own(mesh, kv->key)) {
 		mesh->registry.key_revision = kv->mod_revision;
 		if (record.incarnation > mesh->entry->incarnation)
-			replaced(mesh, record.incarnation);
+			on_replaced(mesh, record.incarnation);
 		return;
 	}
 	member_registry_update(mesh->members, &record, listen, clock_now_ms());
@@ -344,7 +347,10 @@
 		counter_reason("lagoonpin_registry_failures", "bad_address");
 }
 
-/* Our own key gone: an outage outlived the lease.  Write it anew. */
+/*
+ * The key of this entry is deleted when its lease expires, as in an outage that
+ * is longer than the lease.  Register again.
+ */
 static void
 on_delete(const char *key, int64_t revision, void *ctx)
 {
@@ -353,7 +359,7 @@
 
 	if (!is_own(mesh, key)) {
 		member_registry_remove(
-		    mesh->members, key + strlen(PREFIX), clock_now_ms());
+		    mesh->members, key + strlen(KEY_PREFIX), clock_now_ms());
 		return;
 	}
 	if (revision < r->key_revision)
--- a/lagoonpind/seed.c
+++ b/lagoonpind/seed.c
@@ -4,16 +4,16 @@
 #include "mesh.h"
 
 /*
- * First contact.  An entry finds its peers in the registry; one that starts
- * while the store is away would find nobody, stay without any configuration
- * and refuse all calls.  Until it has heard of a peer it therefore sends its
- * own record to the addresses of --peers and to the entry VMs of the VM list,
- * at its own peer port; whoever gets it gossips back.
+ * Seed addresses.  An entry normally finds its peers in the registry.  One that
+ * starts while the store is unavailable would find none, have no configuration
+ * and refuse all calls.  Until a peer is known, it therefore sends its own
+ * record to the addresses of --peers and to the entry VMs of the VM list, at
+ * its own peer port; an entry that receives it replies with gossip.
  */
 
-#define SEED_ID_SIZE (SETTING_IP_SIZE + 16)
+#define SEED_ADDRESS_SIZE (SETTING_IP_SIZE + 16)
 
-static void seed_done(struct mesh *);
+static void close_seed_connections(struct mesh *);
 static void send_to_addresses(struct mesh *, const void *, size_t);
 static void send_to_vms(struct mesh *, const void *, size_t);
 static void send_seed(struct mesh *, const char *, int, const void *, size_t);
@@ -27,7 +27,7 @@
 
 	if (member_count(mesh->members) > 0) {
 		if (mesh->seeding)
-			seed_done(mesh);
+			close_seed_connections(mesh);
 		return;
 	}
 	if (mesh->entry->phase != ENTRY_RUNNING)
@@ -80,7 +80,7 @@
     struct mesh *mesh, const char *ip, int port, const void *data, size_t len)
 {
 	const struct setting_address *own;
-	char address[SEED_ID_SIZE];
+	char address[SEED_ADDRESS_SIZE];
 
 	own = &mesh->entry->opt.peer;
 	if (port == own->port && strcmp(ip, own->ip) == 0)
@@ -91,10 +91,10 @@
 }
 
 static void
-seed_done(struct mesh *mesh)
+close_seed_connections(struct mesh *mesh)
 {
 	const struct setting_addresses *peers;
-	char address[SEED_ID_SIZE];
+	char address[SEED_ADDRESS_SIZE];
 	struct vm *vm;
 	size_t i;
 
--- a/lagoonpind/vms.c
+++ b/lagoonpind/vms.c
@@ -11,8 +11,8 @@
 #define CONNECT_TIMEOUT_MS 1000
 
 /*
- * Reads the platform's VM list.  While it can't be read the last list stays:
- * no VM is taken for gone because its list is away.
+ * Reads the platform's VM list.  While it is unavailable the last list stays in
+ * force: no VM counts as gone because the list can't be read.
  */
 struct vms {
 	struct httpc_call *call;
@@ -121,16 +121,16 @@
 }
 
 static void
-on_change(struct vm *v, enum fleet_change change, void *ctx)
+on_change(struct vm *vm, enum fleet_change change, void *ctx)
 {
 	struct entry *e;
 	size_t i;
 
 	e = ctx;
-	log_info("vm_changed", "vm=%s state=%s change=%d", v->info.id,
-	    vm_state_name(v->info.state), (int)change);
+	log_info("vm_changed", "vm=%s state=%s change=%d", vm->info.id,
+	    vm_state_name(vm->info.state), (int)change);
 	for (i = 0; i < nmodules; i++) {
 		if (modules[i]->vm_changed != NULL)
-			modules[i]->vm_changed(e, v, change);
+			modules[i]->vm_changed(e, vm, change);
 	}
 }
