--- a/lib/commit.c
+++ b/lib/commit.c
@@ -4,8 +4,8 @@
 #include "commit_int.h"
 #include "counter.h"
 
-#define SETTLE_MS 100
-#define SETTLE_MAX_MS 2000
+#define READ_BACK_MS 100
+#define READ_BACK_MAX_MS 2000
 #define MAX_OPS 100
 #define MAX_BYTES (1024UL * 1024)
 #define MAX_QUEUED 10000
@@ -55,10 +55,10 @@
 	if ((c = calloc(1, sizeof(*c))) == NULL)
 		return NULL;
 	c->options = *options;
-	if (c->options.settle_ms <= 0)
-		c->options.settle_ms = SETTLE_MS;
+	if (c->options.read_back_ms <= 0)
+		c->options.read_back_ms = READ_BACK_MS;
 	if (c->options.settle_max_ms <= 0)
-		c->options.settle_max_ms = SETTLE_MAX_MS;
+		c->options.settle_max_ms = READ_BACK_MAX_MS;
 	if (c->options.max_ops == 0)
 		c->options.max_ops = MAX_OPS;
 	if (c->options.max_bytes == 0)
@@ -67,8 +67,8 @@
 		c->options.max_queued = MAX_QUEUED;
 	RB_INIT(&c->keys);
 	TAILQ_INIT(&c->ready);
-	TAILQ_INIT(&c->flying);
-	TAILQ_INIT(&c->doubted);
+	TAILQ_INIT(&c->sent);
+	TAILQ_INIT(&c->unresolved);
 	c->next_send_ms = INT64_MIN;
 	return c;
 }
@@ -83,15 +83,15 @@
 		return;
 	c->closing = true;
 	c->busy++;
-	if (c->flight == FLIGHT_PUTS) {
-		TAILQ_FOREACH (key, &c->flying, link)
-			STAILQ_FIRST(&key->items)->doubted = true;
+	if (c->in_flight == FLIGHT_PUTS) {
+		TAILQ_FOREACH (key, &c->sent, link)
+			STAILQ_FIRST(&key->items)->outcome_unknown = true;
 	}
 	memset(&result, 0, sizeof(result));
 	while ((key = RB_MIN(commit_keys, &c->keys)) != NULL) {
 		result.outcome = COMMIT_NOT_WRITTEN;
 		result.error = STORE_ERR_CANCELLED;
-		if (STAILQ_FIRST(&key->items)->doubted)
+		if (STAILQ_FIRST(&key->items)->outcome_unknown)
 			result.outcome = COMMIT_UNKNOWN;
 		end(c, key, &result);
 	}
@@ -102,7 +102,7 @@
 static void
 free_if_over(struct commit *c)
 {
-	if (c->closing && c->busy == 0 && c->flight == FLIGHT_NONE)
+	if (c->closing && c->busy == 0 && c->in_flight == FLIGHT_NONE)
 		free(c);
 }
 
@@ -178,9 +178,9 @@
 	int64_t due_ms;
 
 	due_ms = INT64_MAX;
-	if (c->closing || c->flight != FLIGHT_NONE)
+	if (c->closing || c->in_flight != FLIGHT_NONE)
 		return due_ms;
-	if (!TAILQ_EMPTY(&c->doubted))
+	if (!TAILQ_EMPTY(&c->unresolved))
 		due_ms = c->settle_due_ms;
 	if (!TAILQ_EMPTY(&c->ready) && c->next_send_ms < due_ms)
 		due_ms = c->next_send_ms;
@@ -197,7 +197,7 @@
 		return;
 	c->busy++;
 	c->next_send_ms = now_ms + c->options.commit_ms;
-	if (!TAILQ_EMPTY(&c->doubted) && c->settle_due_ms <= now_ms) {
+	if (!TAILQ_EMPTY(&c->unresolved) && c->settle_due_ms <= now_ms) {
 		c->settle_due_ms = now_ms + c->settle_wait_ms;
 		sent = send_read_back(c);
 	} else
@@ -222,9 +222,9 @@
 		next = TAILQ_NEXT(key, link);
 		if (!commit_batch_put(&batch, key))
 			continue;
-		move(key, &c->flying);
+		move(key, &c->sent);
 		if (batch.nsuccess == batch.max_ops ||
-		    STAILQ_FIRST(&key->items)->alone)
+		    STAILQ_FIRST(&key->items)->exclusive)
 			break;
 	}
 	memset(&txn, 0, sizeof(txn));
@@ -234,7 +234,7 @@
 	txn.nsuccess = batch.nsuccess;
 	txn.failure = batch.failure;
 	txn.nfailure = batch.nkeys;
-	c->flight = FLIGHT_PUTS;
+	c->in_flight = FLIGHT_PUTS;
 	hand_over(c, &txn);
 	commit_batch_close(&batch);
 	return true;
@@ -250,15 +250,15 @@
 	if (commit_batch_open(
 		&batch, c->options.max_ops, c->options.max_bytes) == -1)
 		return false;
-	while ((key = TAILQ_FIRST(&c->doubted)) != NULL) {
+	while ((key = TAILQ_FIRST(&c->unresolved)) != NULL) {
 		if (!commit_batch_get(&batch, key))
 			break;
-		move(key, &c->flying);
+		move(key, &c->sent);
 	}
 	memset(&txn, 0, sizeof(txn));
 	txn.success = batch.success;
 	txn.nsuccess = batch.nsuccess;
-	c->flight = FLIGHT_READ_BACK;
+	c->in_flight = FLIGHT_READ_BACK;
 	hand_over(c, &txn);
 	commit_batch_close(&batch);
 	return true;
@@ -287,11 +287,11 @@
     struct commit *c, const struct store_txn_result *result, int64_t now_ms)
 {
 	c->busy++;
-	if (c->flight == FLIGHT_READ_BACK)
+	if (c->in_flight == FLIGHT_READ_BACK)
 		answer_read_back(c, result, now_ms);
 	else
 		answer_puts(c, result, now_ms);
-	c->flight = FLIGHT_NONE;
+	c->in_flight = FLIGHT_NONE;
 	c->busy--;
 	free_if_over(c);
 }
@@ -305,11 +305,11 @@
 	bool shared;
 
 	n = 0;
-	TAILQ_FOREACH (key, &c->flying, link)
+	TAILQ_FOREACH (key, &c->sent, link)
 		n++;
 	shared = n > 1;
 	/* A callback may close it all, which empties the list. */
-	for (i = 0; (key = TAILQ_FIRST(&c->flying)) != NULL; i++) {
+	for (i = 0; (key = TAILQ_FIRST(&c->sent)) != NULL; i++) {
 		if (result->error != STORE_OK)
 			fail_put(c, key, result->error, shared, now_ms);
 		else if (result->succeeded)
@@ -329,17 +329,17 @@
 	size_t i, n;
 
 	n = 0;
-	TAILQ_FOREACH (key, &c->flying, link)
+	TAILQ_FOREACH (key, &c->sent, link)
 		n++;
 	if (result->error != STORE_OK || result->nops != n) {
 		wait_longer(c);
 		c->settle_due_ms = now_ms + c->settle_wait_ms;
-		while ((key = TAILQ_FIRST(&c->flying)) != NULL)
-			move(key, &c->doubted);
+		while ((key = TAILQ_FIRST(&c->sent)) != NULL)
+			move(key, &c->unresolved);
 		return;
 	}
 	c->settle_due_ms = now_ms;
-	for (i = 0; (key = TAILQ_FIRST(&c->flying)) != NULL; i++)
+	for (i = 0; (key = TAILQ_FIRST(&c->sent)) != NULL; i++)
 		judge(c, key, kv_of(&result->ops[i]));
 }
 
@@ -363,14 +363,14 @@
 		return;
 	}
 	if (is_refusal(error) && shared) {
-		item->alone = true;
+		item->exclusive = true;
 		move(key, &c->ready);
 		return;
 	}
-	if (item->doubted) {
+	if (item->outcome_unknown) {
 		/* Sure of this sending only, not of the one before. */
 		if (is_refusal(error))
-			item->refused = error;
+			item->refusal = error;
 		doubt(c, key, now_ms);
 		return;
 	}
@@ -386,15 +386,15 @@
 	struct commit_item *item;
 
 	item = STAILQ_FIRST(&key->items);
-	if (TAILQ_EMPTY(&c->doubted)) {
-		if (item->doubted)
+	if (TAILQ_EMPTY(&c->unresolved)) {
+		if (item->outcome_unknown)
 			wait_longer(c);
 		else
-			c->settle_wait_ms = c->options.settle_ms;
+			c->settle_wait_ms = c->options.read_back_ms;
 		c->settle_due_ms = now_ms + c->settle_wait_ms;
 	}
-	item->doubted = true;
-	move(key, &c->doubted);
+	item->outcome_unknown = true;
+	move(key, &c->unresolved);
 }
 
 static void
@@ -414,12 +414,12 @@
 
 	item = STAILQ_FIRST(&key->items);
 	if ((kv != NULL ? kv->mod_revision : 0) == item->expected &&
-	    item->refused == STORE_OK) {
+	    item->refusal == STORE_OK) {
 		move(key, &c->ready);
 		return;
 	}
 	memset(&result, 0, sizeof(result));
-	if (kv != NULL && item->doubted && kv->mod_revision != item->expected &&
+	if (kv != NULL && item->outcome_unknown && kv->mod_revision != item->expected &&
 	    kv->len == item->len &&
 	    memcmp(kv->value, item->value, item->len) == 0) {
 		written(c, key, kv->mod_revision);
@@ -427,14 +427,14 @@
 	}
 	result.outcome = COMMIT_CONFLICT;
 	result.current = kv;
-	result.may_have_been = item->doubted;
+	result.may_have_been = item->outcome_unknown;
 	if ((kv != NULL ? kv->mod_revision : 0) == item->expected) {
 		/*
 		 * The first sending may still arrive, when what the second
 		 * one was refused for holds no more.
 		 */
 		result.outcome = COMMIT_UNKNOWN;
-		result.error = item->refused;
+		result.error = item->refusal;
 	}
 	end(c, key, &result);
 }
--- a/lib/commit.h
+++ b/lib/commit.h
@@ -72,7 +72,7 @@
 
 struct commit_options {
 	int64_t commit_ms; /* shortest time between two transactions */
-	int64_t settle_ms; /* first wait before reading back; 0: 100 */
+	int64_t read_back_ms; /* first wait before reading back; 0: 100 */
 	int64_t settle_max_ms; /* 0: 2000 */
 	size_t max_ops; /* of a transaction; 0: 100 */
 	size_t max_bytes; /* of its values, unless it is one put; 0: 1 MiB */
--- a/lib/commit_int.h
+++ b/lib/commit_int.h
@@ -16,9 +16,9 @@
 	int64_t lease;
 	struct store_op *also;
 	size_t nalso;
-	bool doubted; /* an answer was lost: it may be or yet come there */
-	bool alone; /* shares no transaction: one that it was in was refused */
-	enum store_error refused; /* why, while it is in doubt */
+	bool outcome_unknown; /* an answer was lost: it may be or yet come there */
+	bool exclusive; /* shares no transaction: one that it was in was refused */
+	enum store_error refusal; /* why, while it is in doubt */
 	commit_done *done;
 	void *ctx;
 };
@@ -42,10 +42,10 @@
 	struct commit_options options;
 	struct commit_keys keys;
 	struct commit_key_list ready; /* their first put can be sent */
-	struct commit_key_list flying; /* in the order of the transaction */
-	struct commit_key_list doubted; /* to be read back */
+	struct commit_key_list sent; /* in the order of the transaction */
+	struct commit_key_list unresolved; /* to be read back */
 	size_t pending;
-	enum commit_flight flight;
+	enum commit_flight in_flight;
 	int64_t next_send_ms;
 	int64_t settle_due_ms;
 	int64_t settle_wait_ms;
--- a/lib/commit_loop.c
+++ b/lib/commit_loop.c
@@ -8,7 +8,7 @@
 	uv_timer_t timer;
 	struct store *store;
 	struct commit *commit;
-	bool flying; /* the store owes an answer */
+	bool in_flight; /* the store owes an answer */
 	bool closing;
 	bool timer_closed;
 };
@@ -66,7 +66,7 @@
 static void
 free_if_over(struct commit_loop *l)
 {
-	if (l->timer_closed && !l->flying)
+	if (l->timer_closed && !l->in_flight)
 		free(l);
 }
 
@@ -96,7 +96,7 @@
 
 	l = ctx;
 	error = store_txn(l->store, txn, on_answer, l);
-	l->flying = error == STORE_OK;
+	l->in_flight = error == STORE_OK;
 	return error;
 }
 
@@ -106,7 +106,7 @@
 	struct commit_loop *l;
 
 	l = ctx;
-	l->flying = false;
+	l->in_flight = false;
 	commit_answer(l->commit, result, clock_now_ms());
 	arm(l, 0);
 	free_if_over(l);
--- a/lib/commit_txn.c
+++ b/lib/commit_txn.c
@@ -119,7 +119,7 @@
 	if (b->nsuccess + 1 + item->nalso > b->max_ops)
 		return false;
 	if (b->nkeys > 0 &&
-	    (item->alone || b->bytes + item->len > b->max_bytes))
+	    (item->exclusive || b->bytes + item->len > b->max_bytes))
 		return false;
 	if (writes_key(b, key->name))
 		return false;
