--- a/entry/accept.c
+++ b/entry/accept.c
@@ -97,7 +97,7 @@
 	reply.reason = reason;
 	reply.retry_after_ms = retry_after_ms;
 	if (outcome == NODE_NOT_DONE)
-		counter_reason("lagoonpin_job_refused", reason);
+		counter_inc_reason("lagoonpin_job_refused", reason);
 	job->replied(&reply, job->ctx);
 	free(job->text);
 	free(job);
@@ -164,7 +164,7 @@
 	    job->deadline_ms + DEADLINE_MARGIN_MS, job->replied, job->ctx);
 	if (request == NULL)
 		return false;
-	counter_reason("lagoonpin_job_relayed", "store");
+	counter_inc_reason("lagoonpin_job_relayed", "store");
 	request->body = job->text;
 	request->body_len = job->len;
 	free(job);
--- a/entry/lead_save.c
+++ b/entry/lead_save.c
@@ -340,7 +340,7 @@
 		for (i = 0; i < write->n; i++)
 			finish_row(l, &write->rows[i], result);
 		if (result->error != KV_OK) {
-			counter_reason(
+			counter_inc_reason(
 			    "lagoonpin_save_retry", retry_reason(result));
 			if (result->error != KV_CONFLICT &&
 			    result->error != KV_REFUSED)
@@ -422,7 +422,7 @@
 	}
 	if (l->nexpired_jobs == EXPIRED_JOBS_MAX) {
 		/* Its small record stays until the sweep. */
-		counter_reason("lagoonpin_forget_skipped", "full");
+		counter_inc_reason("lagoonpin_forget_skipped", "full");
 		return;
 	}
 	strlcpy(l->expired_jobs[l->nexpired_jobs++], job, GRAPH_ID_MAX);
--- a/entry/leader_request.c
+++ b/entry/leader_request.c
@@ -330,7 +330,7 @@
 		reply.outcome = NODE_NOT_DONE;
 		reply.retry_after_ms = NO_LEADER_RETRY_AFTER_MS;
 	}
-	counter_reason("lagoonpin_ask_expired", kind_names[req->kind]);
+	counter_inc_reason("lagoonpin_ask_expired", kind_names[req->kind]);
 	request_finish(req, &reply);
 }
 
--- a/entry/members.c
+++ b/entry/members.c
@@ -516,7 +516,7 @@
 	}
 	now_ms = clock_now_ms();
 	if ((message = json_loadb(data, len, 0, NULL)) == NULL) {
-		counter_reason("lagoonpin_peer_refused", "not_json");
+		counter_inc_reason("lagoonpin_peer_refused", "not_json");
 		return;
 	}
 	type = get_text(message, "t");
@@ -535,9 +535,9 @@
 	else if (strcmp(type, "answer") == 0)
 		leader_requests_handle_answer(node, message);
 	else if (strcmp(type, "orders") == 0 || strcmp(type, "answers") == 0)
-		counter_reason("lagoonpin_peer_refused", "older_version");
+		counter_inc_reason("lagoonpin_peer_refused", "older_version");
 	else
-		counter_reason("lagoonpin_peer_refused", "unknown_type");
+		counter_inc_reason("lagoonpin_peer_refused", "unknown_type");
 	json_decref(message);
 }
 
--- a/entry/relay.c
+++ b/entry/relay.c
@@ -376,7 +376,7 @@
 		member = member_get(c->node, order->member);
 		if (member != NULL)
 			member->avoid_until_ms = now_ms + AVOID_MS;
-		counter_reason("lagoonpin_carry_lost", "no_answer");
+		counter_inc_reason("lagoonpin_carry_lost", "no_answer");
 		finish_lost(c, order);
 	}
 }
@@ -391,7 +391,7 @@
 {
 	if (answer->look == NULL || answer->look->nfinished == 0)
 		return;
-	counter_reason("lagoonpin_carry_late", "ends");
+	counter_inc_reason("lagoonpin_carry_late", "ends");
 	c->late(answer->worker, answer->look, c->late_ctx);
 }
 
--- a/kvstand/gateway.c
+++ b/kvstand/gateway.c
@@ -380,7 +380,7 @@
 	h->call = call;
 	h->due_ms = due_ms;
 	TAILQ_INSERT_TAIL(&g->held, h, link);
-	httpd_on_gone(r, on_held_gone, h);
+	httpd_on_disconnect(r, on_held_gone, h);
 }
 
 static void
@@ -410,7 +410,7 @@
 			continue;
 		TAILQ_REMOVE(&g->held, h, link);
 		if (h->request != NULL)
-			httpd_on_gone(h->request, NULL, NULL);
+			httpd_on_disconnect(h->request, NULL, NULL);
 		run(g, h->request, h->call, h->body, h->len, false);
 		free(h->body);
 		free(h);
--- a/kvstand/reply.c
+++ b/kvstand/reply.c
@@ -19,7 +19,7 @@
 void
 gateway_lose(struct httpd_request *r)
 {
-	httpd_on_gone(r, NULL, NULL);
+	httpd_on_disconnect(r, NULL, NULL);
 	httpd_begin(r, 200, &gateway_json, 1);
 	httpd_abort(r);
 }
--- a/kvstand/stream.c
+++ b/kvstand/stream.c
@@ -39,7 +39,7 @@
 		s->request = r;
 		LIST_INSERT_HEAD(list, s, link);
 		httpd_begin(r, 200, &gateway_json, 1);
-		httpd_on_gone(r, on_stream_gone, s);
+		httpd_on_disconnect(r, on_stream_gone, s);
 		s->watch = watch_open(watches, &span, revision, on_line, s);
 		if (s->watch == NULL || s->over)
 			stream_end(s, s->watch == NULL);
@@ -81,7 +81,7 @@
 	if (s->watch != NULL)
 		watch_close(s->watch);
 	if (s->request != NULL) {
-		httpd_on_gone(s->request, NULL, NULL);
+		httpd_on_disconnect(s->request, NULL, NULL);
 		if (broken)
 			httpd_abort(s->request);
 		else
--- a/lagoonpind/batch.c
+++ b/lagoonpind/batch.c
@@ -385,7 +385,7 @@
 	now_ms = clock_now_ms();
 	if (now_ms - s->ledger->taken_ms < RAISE_MS)
 		return;
-	counter_reason("lagoonpin_epoch_raises", "credits_lost");
+	counter_inc_reason("lagoonpin_epoch_raises", "credits_lost");
 	log_info("epoch_raise", "shard=%s epoch=%llu slots=%d", shard,
 	    (unsigned long long)s->ledger->epoch, slots);
 	ledger_reacquire(s->ledger);
--- a/lagoonpind/batch.h
+++ b/lagoonpind/batch.h
@@ -299,7 +299,7 @@
 void request_begin(
     struct batch *, struct pending_request *, struct httpd_request *);
 void request_end(struct pending_request *);
-/* For httpd_on_gone, with the pending_request as ctx. */
+/* For httpd_on_disconnect, with the pending_request as ctx. */
 void request_gone(struct httpd_request *, void *ctx);
 
 /* task_accept.c, task_job.c, task_cancel.c, task_state.c */
--- a/lagoonpind/borrow.c
+++ b/lagoonpind/borrow.c
@@ -152,7 +152,7 @@
 	wire_encode_want(&payload, want);
 	sent = mesh_send(e, peer, WIRE_WANT, payload.data, payload.size);
 	msgpack_sbuffer_destroy(&payload);
-	counter_reason("lagoonpin_lend_wants", sent ? "sent" : "not_sent");
+	counter_inc_reason("lagoonpin_lend_wants", sent ? "sent" : "not_sent");
 	return sent;
 }
 
@@ -180,11 +180,11 @@
 	} else
 		want.amount.connections = 2 * d->waiting;
 	if ((peer = best_peer(e, &want, now_ms)) == NULL) {
-		counter_reason("lagoonpin_lend_refused", "no_peer_spare");
+		counter_inc_reason("lagoonpin_lend_refused", "no_peer_spare");
 		return false;
 	}
 	if (!lending_rate_take(&e->lend->wants, now_ms)) {
-		counter_reason("lagoonpin_lend_refused", "asked_too_often");
+		counter_inc_reason("lagoonpin_lend_refused", "asked_too_often");
 		return false;
 	}
 	if (!send_want(e, peer->record.id, &want)) {
@@ -297,7 +297,7 @@
 	member = member_find(mesh_members(e), header->from);
 	if (member == NULL ||
 	    member->record.incarnation != header->incarnation) {
-		counter_reason("lagoonpin_lend_refused", "unknown_peer");
+		counter_inc_reason("lagoonpin_lend_refused", "unknown_peer");
 		return;
 	}
 	now_ms = clock_now_ms();
@@ -313,9 +313,9 @@
 		    e->lend->rotation, out.items, WIRE_TRANSFERS_MAX);
 	e->lend->rotation += (unsigned int)out.count;
 	if (out.count == 0)
-		counter_reason("lagoonpin_lend_refused", "nothing_spare");
+		counter_inc_reason("lagoonpin_lend_refused", "nothing_spare");
 	else
-		counter_reason("lagoonpin_lend_granted", "wanted");
+		counter_inc_reason("lagoonpin_lend_granted", "wanted");
 	strlcpy(out.service, want.service, sizeof(out.service));
 	out.load = own_load(e, want.service, now_ms);
 	if (borrow_send(e, header->from, WIRE_CREDITS, &out))
@@ -374,7 +374,7 @@
 	error =
 	    credit_receive(e->lend->table, &origin, in.items, in.count, &stale);
 	if (error != CREDIT_OK) {
-		counter_reason(
+		counter_inc_reason(
 		    "lagoonpin_lend_refused", credit_strerror(error));
 		return;
 	}
--- a/lagoonpind/call_answer.c
+++ b/lagoonpind/call_answer.c
@@ -230,7 +230,7 @@
 	c->facts.complete = true;
 	a = outcome_derive(&c->facts, OUTCOME_COMPLETE, 0);
 	settle_claim(c);
-	httpd_on_gone(c->request, NULL, NULL);
+	httpd_on_disconnect(c->request, NULL, NULL);
 	httpd_end(c->request);
 	call_answer_finish(c, &a);
 }
@@ -243,7 +243,7 @@
 
 	a = outcome_derive(&c->facts, OUTCOME_ANSWER_CUT, 0);
 	settle_claim(c);
-	httpd_on_gone(c->request, NULL, NULL);
+	httpd_on_disconnect(c->request, NULL, NULL);
 	httpd_abort(c->request);
 	call_answer_finish(c, &a);
 }
--- a/lagoonpind/call_claim.c
+++ b/lagoonpind/call_claim.c
@@ -126,7 +126,7 @@
 	cs = ctx;
 	q = &cs->claim_store->queues[QUEUE_SETTLE];
 	if (q->nwaiting >= CLAIM_SETTLE_QUEUE_MAX) {
-		counter_reason("lagoonpin_claims_unsettled", "queue_full");
+		counter_inc_reason("lagoonpin_claims_unsettled", "queue_full");
 		return;
 	}
 	op = claim_op_new(cs->claim_store, QUEUE_SETTLE, OP_SETTLE, c, mark);
@@ -166,7 +166,7 @@
 
 	cs = ctx;
 	call = call_of(c);
-	counter_reason(
+	counter_inc_reason(
 	    "lagoonpin_claims_refused", outcome_reason_name(reasons[why]));
 	call->facts.foreign_claim = why == CLAIM_REFUSED_DUPLICATE;
 	if (why == CLAIM_REFUSED_DUPLICATE)
--- a/lagoonpind/call_collect.c
+++ b/lagoonpind/call_collect.c
@@ -260,7 +260,7 @@
 		return true;
 	verdict = budget_take(&c->service->budget, BUDGET_RETRY, true, now_ms);
 	if (verdict != BUDGET_GRANTED)
-		counter_reason("lagoonpin_call_retry_refused",
+		counter_inc_reason("lagoonpin_call_retry_refused",
 		    budget_verdict_name(verdict));
 	return verdict == BUDGET_GRANTED;
 }
--- a/lagoonpind/call_hedge.c
+++ b/lagoonpind/call_hedge.c
@@ -60,16 +60,16 @@
 	enum budget_verdict verdict;
 
 	if (!may_hedge(c, now_ms)) {
-		counter_reason("lagoonpin_call_hedges", "no_room");
+		counter_inc_reason("lagoonpin_call_hedges", "no_room");
 		return;
 	}
 	verdict = budget_take(&c->service->budget, BUDGET_HEDGE, true, now_ms);
-	counter_reason("lagoonpin_call_hedges", budget_verdict_name(verdict));
+	counter_inc_reason("lagoonpin_call_hedges", budget_verdict_name(verdict));
 	if (verdict != BUDGET_GRANTED)
 		return;
 	c->avoid = LIST_FIRST(&c->attempts)->endpoint;
 	if (!call_choose(c, now_ms))
-		counter_reason("lagoonpin_call_hedges", "no_credit");
+		counter_inc_reason("lagoonpin_call_hedges", "no_credit");
 }
 
 /* A service's delay hardly changes, so its first armed call is due first. */
--- a/lagoonpind/call_read.c
+++ b/lagoonpind/call_read.c
@@ -67,7 +67,7 @@
 	}
 	LIST_INSERT_HEAD(&cs->calls, c, link);
 	cs->ncalls++;
-	httpd_on_gone(r, on_gone, c);
+	httpd_on_disconnect(r, on_gone, c);
 	explain_begin(c);
 	call_admit(c);
 }
--- a/lagoonpind/change.c
+++ b/lagoonpind/change.c
@@ -84,7 +84,7 @@
 	const char *reason;
 
 	reason = c->outcome_unknown ? "outcome_unknown" : store_strerror(error);
-	counter_reason("lagoonpin_operator_refused", reason);
+	counter_inc_reason("lagoonpin_operator_refused", reason);
 	log_warn(
 	    "change_refused", "key=%s reason=%s by=%s", c->key, reason, c->by);
 	if (c->request != NULL && c->outcome_unknown)
@@ -103,7 +103,7 @@
 	struct record record;
 	json_t *body, *current;
 
-	counter_reason("lagoonpin_operator_refused", "conflict");
+	counter_inc_reason("lagoonpin_operator_refused", "conflict");
 	log_info("change_refused", "key=%s reason=conflict seen=%lld by=%s",
 	    c->key, (long long)c->expected_revision, c->by);
 	if (c->request != NULL) {
@@ -127,7 +127,7 @@
 static void
 accept_change(struct change *c, int64_t revision)
 {
-	counter_reason("lagoonpin_operator_accepted",
+	counter_inc_reason("lagoonpin_operator_accepted",
 	    c->text == NULL		  ? "delete" :
 		c->expected_revision == 0 ? "create" :
 					    "set");
@@ -169,7 +169,7 @@
 		goto fail;
 	c->request = r;
 	c->waiting = true;
-	httpd_on_gone(r, on_disconnect, c);
+	httpd_on_disconnect(r, on_disconnect, c);
 	return;
 
 fail:
@@ -295,7 +295,7 @@
 		refuse_store(c, r->error);
 		return;
 	}
-	counter_reason("lagoonpin_operator_retries", store_strerror(r->error));
+	counter_inc_reason("lagoonpin_operator_retries", store_strerror(r->error));
 	c->retry_at_ms = clock_now_ms() + RETRY_MS;
 }
 
--- a/lagoonpind/claim_answer.c
+++ b/lagoonpind/claim_answer.c
@@ -200,7 +200,7 @@
 		return;
 	}
 	if (error == STORE_ERR_CANCELLED || ++op->tries >= SETTLE_TRIES) {
-		counter_reason("lagoonpin_claims_unsettled", "store_away");
+		counter_inc_reason("lagoonpin_claims_unsettled", "store_away");
 		claim_op_free(op);
 		return;
 	}
--- a/lagoonpind/conf_watch.c
+++ b/lagoonpind/conf_watch.c
@@ -122,7 +122,7 @@
 		return;
 	}
 	if (r->error != STORE_OK) {
-		counter_reason(
+		counter_inc_reason(
 		    "lagoonpin_conf_load_failures", store_strerror(r->error));
 		return;
 	}
@@ -132,13 +132,13 @@
 	 * another replica.
 	 */
 	if (r->revision < w->delivered_revision) {
-		counter_reason("lagoonpin_conf_load_failures", "older");
+		counter_inc_reason("lagoonpin_conf_load_failures", "older");
 		log_warn("conf_load_older", "revision=%lld seen=%lld",
 		    (long long)r->revision, (long long)w->delivered_revision);
 		return;
 	}
 	if (load_conf(w, r) == CONF_ERR_MEMORY) {
-		counter_reason("lagoonpin_conf_load_failures", "no_memory");
+		counter_inc_reason("lagoonpin_conf_load_failures", "no_memory");
 		return;
 	}
 	reload_handlers(w, r);
@@ -241,7 +241,7 @@
 	error = conf_apply(w->conf, update);
 	if (error == CONF_OK)
 		return;
-	counter_reason("lagoonpin_conf_refused", conf_strerror(error));
+	counter_inc_reason("lagoonpin_conf_refused", conf_strerror(error));
 	if (error == CONF_BAD_RECORD)
 		log_warn("bad_record", "key=%s revision=%lld field=%s",
 		    update->key, (long long)update->revision,
@@ -262,7 +262,7 @@
 	if (w->watch == NULL)
 		return;
 	if (!conf_advance(w->conf, w->delivered_revision, revision)) {
-		counter_reason("lagoonpin_conf_load_failures", "gap");
+		counter_inc_reason("lagoonpin_conf_load_failures", "gap");
 		store_watch_close(w->watch);
 		w->watch = NULL;
 		return;
@@ -279,7 +279,7 @@
 	struct conf_watch *w;
 
 	w = ctx;
-	counter_reason("lagoonpin_conf_watch_lost",
+	counter_inc_reason("lagoonpin_conf_watch_lost",
 	    loss == STORE_WATCH_BROKEN	      ? "broken" :
 		loss == STORE_WATCH_COMPACTED ? "compacted" :
 						"cancelled");
--- a/lagoonpind/history.c
+++ b/lagoonpind/history.c
@@ -59,7 +59,7 @@
 	h->request = r;
 	if (store_range(e->store, &range, on_history, h) != STORE_OK)
 		goto fail;
-	httpd_on_gone(r, on_history_disconnect, h);
+	httpd_on_disconnect(r, on_history_disconnect, h);
 	return;
 
 fail:
--- a/lagoonpind/lend.c
+++ b/lagoonpind/lend.c
@@ -139,7 +139,7 @@
 
 	vm = fleet_find(e->fleet, worker);
 	if (vm == NULL || vm->shard == NULL) {
-		counter_reason("lagoonpin_lend_refused", "unknown_worker");
+		counter_inc_reason("lagoonpin_lend_refused", "unknown_worker");
 		return;
 	}
 	capacity.slots = vm->info.slots;
@@ -147,7 +147,7 @@
 	error = credit_issue(
 	    e->lend->table, worker, vm->shard->name, epoch, capacity, used);
 	if (error != CREDIT_OK)
-		counter_reason(
+		counter_inc_reason(
 		    "lagoonpin_lend_refused", credit_strerror(error));
 	credit_leaving(e->lend->table, worker, vm->info.state != VM_LIVE);
 }
@@ -207,20 +207,20 @@
 
 	row = credit_find(e->lend->table, worker);
 	if (end == CREDIT_ABANDONED && row != NULL && row->epoch == epoch) {
-		counter_reason("lagoonpin_lend_lost", "abandoned");
+		counter_inc_reason("lagoonpin_lend_lost", "abandoned");
 		if (!row->issued)
 			owners_abandoned(e->lend, row, kind);
 	}
 	error = credit_release(e->lend->table, worker, epoch, kind, end);
 	if (error != CREDIT_OK)
-		counter_reason(
+		counter_inc_reason(
 		    "lagoonpin_lend_refused", credit_strerror(error));
 }
 
 void
 lend_fenced(struct entry *e, const char *worker, uint64_t epoch)
 {
-	counter_reason("lagoonpin_lend_lost", "fenced");
+	counter_inc_reason("lagoonpin_lend_lost", "fenced");
 	credit_fenced(e->lend->table, worker, epoch + 1);
 }
 
@@ -274,7 +274,7 @@
 		return 0;
 	recovery->samples = 0;
 	if (recovery->unaccounted > 0)
-		counter_reason("lagoonpin_lend_lost", "missing");
+		counter_inc_reason("lagoonpin_lend_lost", "missing");
 	return recovery->unaccounted;
 }
 
@@ -312,7 +312,7 @@
 	struct fleet_shard *shard;
 
 	if (credit_expire_peers(e->lend->table, is_dead, e) > 0)
-		counter_reason("lagoonpin_lend_lost", "peer_dead");
+		counter_inc_reason("lagoonpin_lend_lost", "peer_dead");
 	TAILQ_FOREACH (shard, fleet_racks(e->fleet), link)
 		recover_shard(e, shard, now_ms);
 }
--- a/lagoonpind/main.c
+++ b/lagoonpind/main.c
@@ -219,7 +219,7 @@
 		if (now_ms - e->drain_since_ms < e->opt.drain_ms)
 			return;
 		log_warn("drain_timeout", "part=%s", modules[i]->name);
-		counter_reason("lagoonpin_drain_timeouts", modules[i]->name);
+		counter_inc_reason("lagoonpin_drain_timeouts", modules[i]->name);
 	}
 	log_info(
 	    "drained", "took_ms=%lld", (long long)(now_ms - e->drain_since_ms));
@@ -261,7 +261,7 @@
 		if (modules[i]->http != NULL && modules[i]->http(e, r))
 			return;
 	}
-	counter_reason("lagoonpin_http_refused", "unknown_path");
+	counter_inc_reason("lagoonpin_http_refused", "unknown_path");
 	reply_error(r, 404, "unknown_path", NULL, "no such path");
 }
 
--- a/lagoonpind/mesh.c
+++ b/lagoonpind/mesh.c
@@ -381,7 +381,7 @@
 	msgpack_sbuffer_init(&payload);
 	if (delta.n > 0 || !peer->store_answers) {
 		if (wire_encode_config(&payload, &delta) != WIRE_OK)
-			counter_reason(
+			counter_inc_reason(
 			    "lagoonpin_peer_dropped", "config_too_large");
 		else if (mesh_send(mesh->entry, peer->id, WIRE_CONFIG,
 			     payload.data, payload.size))
@@ -405,7 +405,7 @@
 	if (wire_decode_config(payload, len, &delta, &storage) == WIRE_OK) {
 		error = conf_import(entry_conf(e), &delta);
 		if (error != CONF_OK && error != CONF_STALE)
-			counter_reason(
+			counter_inc_reason(
 			    "lagoonpin_conf_refused", conf_strerror(error));
 		if (conf_revision(entry_conf(e)) > before)
 			log_info("conf_from_peer", "peer=%s revision=%lld",
--- a/lagoonpind/operators.c
+++ b/lagoonpind/operators.c
@@ -176,7 +176,7 @@
 static void
 refuse_fault(struct httpd_request *r, const struct record_fault *fault)
 {
-	counter_reason(
+	counter_inc_reason(
 	    "lagoonpin_operator_refused", record_strerror(fault->error));
 	reply_error(r, fault->error == RECORD_ERR_TOO_LARGE ? 413 : 400,
 	    record_strerror(fault->error), fault->field, fault->detail);
@@ -352,7 +352,7 @@
 	if (!query_number(
 		httpd_query(r), "revision", &change.expected_revision) ||
 	    change.expected_revision == 0) {
-		counter_reason("lagoonpin_operator_refused", "missing_field");
+		counter_inc_reason("lagoonpin_operator_refused", "missing_field");
 		reply_error(r, 400, "missing_field", "revision",
 		    "add ?revision=N with the record's current revision");
 		return;
--- a/lagoonpind/owners.c
+++ b/lagoonpind/owners.c
@@ -179,7 +179,7 @@
 	transfers.service[0] = '\0';
 	transfers.count = 1;
 	if (borrow_send(e, member->record.id, WIRE_CREDITS, &transfers))
-		counter_reason("lagoonpin_lend_granted", "returned");
+		counter_inc_reason("lagoonpin_lend_granted", "returned");
 	else
 		credit_give_cancel(
 		    e->lend->table, member->record.id, &transfers.items[0]);
--- a/lagoonpind/registry.c
+++ b/lagoonpind/registry.c
@@ -91,7 +91,7 @@
 
 	r->step = REGISTRY_NONE;
 	if (result->error != STORE_OK) {
-		counter_reason("lagoonpin_registry_failures",
+		counter_inc_reason("lagoonpin_registry_failures",
 		    store_strerror(result->error));
 		return;
 	}
@@ -122,7 +122,7 @@
 	r->step = REGISTRY_WRITTEN;
 	if (result->error == STORE_OK)
 		return;
-	counter_reason(
+	counter_inc_reason(
 	    "lagoonpin_registry_failures", store_strerror(result->error));
 	r->next_ms = clock_now_ms() + RETRY_MS;
 	if (result->error == STORE_ERR_NO_LEASE) {
@@ -209,7 +209,7 @@
 
 	r->step = REGISTRY_LEASED;
 	if (result->error != STORE_OK) {
-		counter_reason("lagoonpin_registry_failures",
+		counter_inc_reason("lagoonpin_registry_failures",
 		    store_strerror(result->error));
 		/* The lease may have expired meanwhile: start again. */
 		if (result->error != STORE_ERR_UNAVAILABLE)
@@ -332,7 +332,7 @@
 	char listen[MEMBER_ADDRESS_MAX];
 
 	if (!parse_record(kv, &record, listen, sizeof(listen))) {
-		counter_reason("lagoonpin_registry_failures", "bad_record");
+		counter_inc_reason("lagoonpin_registry_failures", "bad_record");
 		log_warn("bad_registry_record", "key=%s", kv->key);
 		return;
 	}
@@ -344,7 +344,7 @@
 	}
 	member_registry_update(mesh->members, &record, listen, clock_now_ms());
 	if (peer_connect(mesh->peer, record.id, record.address) != PEER_OK)
-		counter_reason("lagoonpin_registry_failures", "bad_address");
+		counter_inc_reason("lagoonpin_registry_failures", "bad_address");
 }
 
 /*
--- a/lagoonpind/task_accept.c
+++ b/lagoonpind/task_accept.c
@@ -54,13 +54,13 @@
 	    strcmp(httpd_method(r), "POST") != 0)
 		return false;
 	if (e->phase != ENTRY_RUNNING) {
-		counter_reason("lagoonpin_jobs_refused", "draining");
+		counter_inc_reason("lagoonpin_jobs_refused", "draining");
 		reply_retry(r, 503, "draining", "this entry is stopping", 1);
 		return true;
 	}
 	if (!store_reachable(e->store, clock_now_ms())) {
 		/* Better refused for certain than tried and in doubt. */
-		counter_reason("lagoonpin_jobs_refused", "store_away");
+		counter_inc_reason("lagoonpin_jobs_refused", "store_away");
 		reply_retry(r, 503, "store_away",
 		    "not accepted: the key-value service doesn't answer",
 		    RETRY_AFTER_S);
@@ -89,13 +89,13 @@
 	if ((a->text = job_text(&a->job)) == NULL ||
 	    make_items(e->batch, a) == -1) {
 		accept_free(a);
-		counter_reason("lagoonpin_jobs_refused", "no_workers");
+		counter_inc_reason("lagoonpin_jobs_refused", "no_workers");
 		reply_retry(r, 503, "no_workers",
 		    "no shard with workers is known yet", RETRY_AFTER_S);
 		return true;
 	}
 	request_begin(e->batch, &a->request, r);
-	httpd_on_gone(r, request_gone, &a->request);
+	httpd_on_disconnect(r, request_gone, &a->request);
 	send_job(e->batch, a);
 	return true;
 }
@@ -104,7 +104,7 @@
 refuse(struct httpd_request *r, const char *error, const char *field,
     const char *message)
 {
-	counter_reason("lagoonpin_jobs_refused", error);
+	counter_inc_reason("lagoonpin_jobs_refused", error);
 	reply_error(r, 400, error, field, message);
 	return true;
 }
@@ -261,7 +261,7 @@
 	}
 	if (result->error == STORE_ERR_UNKNOWN && a->tries < TRIES_MAX) {
 		/* Create-if-absent: sent again it does no harm. */
-		counter_reason("lagoonpin_job_retries", "lost_answer");
+		counter_inc_reason("lagoonpin_job_retries", "lost_answer");
 		send_job(a->request.batch, a);
 		return;
 	}
@@ -295,7 +295,7 @@
 		log_info("job_accepted", "job=%s team=%s tasks=%u shards=%zu",
 		    a->job.id, a->job.team, a->job.tasks, a->nitems);
 	} else
-		counter_reason("lagoonpin_jobs_refused",
+		counter_inc_reason("lagoonpin_jobs_refused",
 		    status == 409     ? "exists" :
 			status == 504 ? "unknown" :
 					"store_away");
--- a/lagoonpind/task_bind.c
+++ b/lagoonpind/task_bind.c
@@ -195,7 +195,7 @@
 {
 	if (result.reason == BIND_PROBE)
 		health_probe_sent(&view->views[result.index]->health);
-	counter_reason("lagoonpin_binds",
+	counter_inc_reason("lagoonpin_binds",
 	    t->worker == NULL ? bind_reason_text(result.reason) : "moved");
 	return view->workers[result.index];
 }
@@ -232,7 +232,7 @@
 	if (quota != QUOTA_OK) {
 		t->reason =
 		    quota == QUOTA_FULL ? "team_quota" : "team_quota_elsewhere";
-		counter_reason("lagoonpin_bind_waits", t->reason);
+		counter_inc_reason("lagoonpin_bind_waits", t->reason);
 		return NULL;
 	}
 	task.kind = job->kind;
@@ -254,11 +254,11 @@
 		return NULL;
 	t->reason = reason_of(&view, t, result.reason);
 	if (t->r.urgent || strcmp(t->reason, "no_room") != 0) {
-		counter_reason("lagoonpin_bind_waits", t->reason);
+		counter_inc_reason("lagoonpin_bind_waits", t->reason);
 		return NULL;
 	}
 	w = pick_ahead(&view, s->batch, &task, &options, now_ms);
-	counter_reason(w == NULL ? "lagoonpin_bind_waits" : "lagoonpin_binds",
+	counter_inc_reason(w == NULL ? "lagoonpin_bind_waits" : "lagoonpin_binds",
 	    w == NULL ? "no_room" : "ahead");
 	return w;
 }
--- a/lagoonpind/task_cancel.c
+++ b/lagoonpind/task_cancel.c
@@ -50,7 +50,7 @@
 		return;
 	}
 	if (id == NULL && !cancel_body(c, r)) {
-		counter_reason("lagoonpin_cancels_refused", "bad_body");
+		counter_inc_reason("lagoonpin_cancels_refused", "bad_body");
 		cancel_free(c);
 		reply_error(r, 400, "bad_value", "ids",
 		    "up to 1000 job ids, or a team");
@@ -67,7 +67,7 @@
 		return;
 	}
 	request_begin(e->batch, &c->request, r);
-	httpd_on_gone(r, request_gone, &c->request);
+	httpd_on_disconnect(r, request_gone, &c->request);
 	if (c->team[0] != '\0')
 		find_team(c);
 	else
@@ -272,7 +272,7 @@
 	}
 	if (result->error == STORE_ERR_UNKNOWN && c->writing) {
 		/* Marks and items may be written twice. */
-		counter_reason("lagoonpin_cancel_retries", "lost_answer");
+		counter_inc_reason("lagoonpin_cancel_retries", "lost_answer");
 		cancel_write(c);
 		return;
 	}
@@ -318,7 +318,7 @@
 	else if (r != NULL)
 		reply_json(r, 202, json_pack("{s:O}", "jobs", jobs));
 	if (!written)
-		counter_reason("lagoonpin_cancels_refused", "store_away");
+		counter_inc_reason("lagoonpin_cancels_refused", "store_away");
 	json_decref(jobs);
 	request_end(&c->request);
 	cancel_free(c);
--- a/lagoonpind/task_evict.c
+++ b/lagoonpind/task_evict.c
@@ -203,7 +203,7 @@
 	char id[LEDGER_TASK_ID_MAX];
 
 	ledger_task_id(t, id, sizeof(id));
-	counter_reason(
+	counter_inc_reason(
 	    "lagoonpin_protections", evict_action_text(result->action));
 	log_info("protect",
 	    "action=%s job=%s task=%u attempt=%u worker=%s shard=%s epoch=%llu "
@@ -263,7 +263,7 @@
 	result = evict_decide(
 	    &options, &service->state, bw->learn, views, n, now_ms);
 	if (result.action == EVICT_NOTHING || result.index < 0) {
-		counter_reason("lagoonpin_protect_waits",
+		counter_inc_reason("lagoonpin_protect_waits",
 		    evict_reason_text(result.reason));
 		return;
 	}
@@ -273,7 +273,7 @@
 		    conf_policy(entry_conf(s->batch->entry))->hold_off_ms;
 		if (bw->evicted_ms != 0 &&
 		    now_ms - bw->evicted_ms < hold_off_ms) {
-			counter_reason("lagoonpin_protect_waits", "hold_off");
+			counter_inc_reason("lagoonpin_protect_waits", "hold_off");
 			return;
 		}
 		bw->evicted_ms = now_ms;
@@ -335,10 +335,10 @@
 		}
 	}
 	if (best == NULL) {
-		counter_reason("lagoonpin_displacements", "no_victim");
+		counter_inc_reason("lagoonpin_displacements", "no_victim");
 		return;
 	}
-	counter_reason("lagoonpin_displacements", "urgent");
+	counter_inc_reason("lagoonpin_displacements", "urgent");
 	log_info("task_displaced",
 	    "job=%s task=%u attempt=%u worker=%s shard=%s epoch=%llu for=%s/%u "
 	    "waited_ms=%lld",
@@ -435,7 +435,7 @@
 	    "to=%s reason=%s",
 	    t->r.job, t->r.index, t->r.attempt, s->name,
 	    (unsigned long long)s->ledger->epoch, chosen, t->reason);
-	counter_reason("lagoonpin_task_moves", t->reason);
+	counter_inc_reason("lagoonpin_task_moves", t->reason);
 	return ledger_move(s->ledger, t, chosen) == LEDGER_OK;
 }
 
@@ -474,7 +474,7 @@
 	    "job=%s task=%u attempt=%u shard=%s epoch=%llu reason=%s", t->r.job,
 	    t->r.index, t->r.attempt, s->name,
 	    (unsigned long long)s->ledger->epoch, reason);
-	counter_reason("lagoonpin_tasks_given_up", reason);
+	counter_inc_reason("lagoonpin_tasks_given_up", reason);
 	return ledger_give_up(s->ledger, t, reason) == LEDGER_OK;
 }
 
--- a/lagoonpind/task_finish.c
+++ b/lagoonpind/task_finish.c
@@ -66,7 +66,7 @@
 	    "outcome=%s took_ms=%lld",
 	    t->r.job, t->r.index, t->r.attempt, t->r.worker, s->name,
 	    (unsigned long long)l->epoch, names[outcome], (long long)took_ms);
-	counter_reason("lagoonpin_task_ends", names[outcome]);
+	counter_inc_reason("lagoonpin_task_ends", names[outcome]);
 	w = lw == NULL ? NULL : lw->data;
 	job = record_find(s->batch, t->r.job);
 	if (w == NULL)
@@ -88,7 +88,7 @@
 	struct batch_shard *s;
 
 	s = ctx;
-	counter_reason("lagoonpin_tasks_left", task_state_name(t->r.state));
+	counter_inc_reason("lagoonpin_tasks_left", task_state_name(t->r.state));
 	log_info("task_left",
 	    "job=%s task=%u attempt=%u shard=%s epoch=%llu state=%s reason=%s",
 	    t->r.job, t->r.index, t->r.attempt, s->name,
--- a/lagoonpind/task_inbox.c
+++ b/lagoonpind/task_inbox.c
@@ -124,7 +124,7 @@
 	}
 	error = inbox_item_parse(kv->value, kv->len, &item, &fault);
 	if (error != LEDGER_JSON_OK) {
-		counter_reason(
+		counter_inc_reason(
 		    "lagoonpin_inbox_refused", ledger_json_strerror(error));
 		log_error("inbox_item_refused", "key=%s error=%s field=%s",
 		    kv->key, ledger_json_strerror(error), fault.field);
@@ -270,7 +270,7 @@
 	    s->inbox != INBOX_READING)
 		goto out;
 	if (result->error != STORE_OK) {
-		counter_reason("lagoonpin_inbox_reads_failed",
+		counter_inc_reason("lagoonpin_inbox_reads_failed",
 		    store_strerror(result->error));
 		s->inbox = INBOX_UNREAD;
 		goto out;
@@ -323,13 +323,13 @@
 		return false;
 	if (job->phase == RECORD_MISSING) {
 		/* Written in the same transaction as the item. */
-		counter_reason("lagoonpin_inbox_refused", "no_job_record");
+		counter_inc_reason("lagoonpin_inbox_refused", "no_job_record");
 		log_error("inbox_item_without_job", "job=%s shard=%s",
 		    item->job, s->name);
 		return false;
 	}
 	if (s->ledger->ntasks >= TASKS_OPEN_MAX) {
-		counter_reason("lagoonpin_inbox_waits", "ledger_full");
+		counter_inc_reason("lagoonpin_inbox_waits", "ledger_full");
 		return false;
 	}
 	n = (uint32_t)(TASKS_OPEN_MAX - s->ledger->ntasks);
--- a/lagoonpind/task_job.c
+++ b/lagoonpind/task_job.c
@@ -82,7 +82,7 @@
 	if (store_range(e->store, &range, on_list, list) != STORE_OK)
 		goto fail;
 	request_begin(e->batch, &list->request, r);
-	httpd_on_gone(r, request_gone, &list->request);
+	httpd_on_disconnect(r, request_gone, &list->request);
 	return;
 
 fail:
@@ -158,7 +158,7 @@
 	if (store_txn(e->store, &txn, on_show, show) != STORE_OK)
 		goto fail;
 	request_begin(e->batch, &show->request, r);
-	httpd_on_gone(r, request_gone, &show->request);
+	httpd_on_disconnect(r, request_gone, &show->request);
 	return;
 
 fail:
--- a/lagoonpind/task_own.c
+++ b/lagoonpind/task_own.c
@@ -97,7 +97,7 @@
 		return;
 	log_info("shard_hand_over", "shard=%s epoch=%llu to=%s reason=home",
 	    s->name, (unsigned long long)s->ledger->epoch, home);
-	counter_reason("lagoonpin_shard_hand_overs", "home");
+	counter_inc_reason("lagoonpin_shard_hand_overs", "home");
 	ledger_release(s->ledger, now_ms);
 }
 
@@ -143,7 +143,7 @@
 		goto out;
 	s->reading = false;
 	if (result->error != STORE_OK) {
-		counter_reason("lagoonpin_shard_reads_failed",
+		counter_inc_reason("lagoonpin_shard_reads_failed",
 		    store_strerror(result->error));
 		goto out;
 	}
@@ -155,7 +155,7 @@
 		    result->kvs[0].value, result->kvs[0].len, &doc, &fault);
 		if (error != LEDGER_JSON_OK) {
 			/* Never guess: an operator has to look at it. */
-			counter_reason("lagoonpin_ledgers_refused",
+			counter_inc_reason("lagoonpin_ledgers_refused",
 			    ledger_json_strerror(error));
 			log_error("ledger_refused",
 			    "shard=%s error=%s field=%s index=%zu", s->name,
@@ -312,7 +312,7 @@
 	    (unsigned long long)s->ledger->epoch,
 	    doc->head.owner[0] == '\0' ? "-" : doc->head.owner,
 	    shard_verdict_name(verdict), doc->ntasks);
-	counter_reason("lagoonpin_shard_takes", shard_verdict_name(verdict));
+	counter_inc_reason("lagoonpin_shard_takes", shard_verdict_name(verdict));
 	batch_step(s, now_ms);
 }
 
@@ -339,7 +339,7 @@
 		s->min_epoch = l->higher_epoch;
 	log_info("shard_lost", "shard=%s epoch=%llu reason=%s", s->name,
 	    (unsigned long long)epoch, ledger_lost_name(s->lost_reason));
-	counter_reason(
+	counter_inc_reason(
 	    "lagoonpin_shard_losses", ledger_lost_name(s->lost_reason));
 	s->ledger = NULL;
 	s->lost = false;
--- a/lagoonpind/task_record.c
+++ b/lagoonpind/task_record.c
@@ -131,7 +131,7 @@
 
 	error = job_parse(kv->value, kv->len, &job->job, &fault);
 	if (error != JOB_OK) {
-		counter_reason(
+		counter_inc_reason(
 		    "lagoonpin_job_records_refused", job_strerror(error));
 		log_error("job_record_refused", "job=%s error=%s field=%s",
 		    job->id, job_strerror(error), fault.field);
@@ -173,7 +173,7 @@
 	request_end(&r->request);
 	b->records_reading = false;
 	if (result->error != STORE_OK || result->nops != 2 * r->n) {
-		counter_reason("lagoonpin_job_reads_failed",
+		counter_inc_reason("lagoonpin_job_reads_failed",
 		    store_strerror(result->error));
 		goto out;
 	}
--- a/lagoonpind/task_retire.c
+++ b/lagoonpind/task_retire.c
@@ -170,6 +170,6 @@
 {
 	(void)ctx;
 	if (result->error != STORE_OK || !result->succeeded)
-		counter_reason(
+		counter_inc_reason(
 		    "lagoonpin_retire_failures", store_strerror(result->error));
 }
--- a/lagoonpind/task_start.c
+++ b/lagoonpind/task_start.c
@@ -54,7 +54,7 @@
 	ledger_task_id(t, id, sizeof(id));
 	job = record_get(s->batch, t->r.job, t->worker->lease_sent_ms);
 	if (job == NULL || job->phase != RECORD_READY) {
-		counter_reason("lagoonpin_start_waits", "job_record");
+		counter_inc_reason("lagoonpin_start_waits", "job_record");
 		call_not_ready(s, WORKER_START, t->worker, id, t->r.attempt);
 		return;
 	}
@@ -83,7 +83,7 @@
 	(void)l;
 	ledger_task_id(t, id, sizeof(id));
 	log_task("task_checkpoint", ctx, t);
-	counter_reason("lagoonpin_evictions", t->reason);
+	counter_inc_reason("lagoonpin_evictions", t->reason);
 	call_worker(ctx, WORKER_CHECKPOINT, t->worker, id, t->r.attempt,
 	    json_object(), CHECKPOINT_TIMEOUT_MS);
 }
@@ -135,7 +135,7 @@
 	if (result == RESULT_OK &&
 	    (token == NULL || strlen(token) >= LEDGER_CHECKPOINT_MAX)) {
 		/* It has stopped; without a token it starts over. */
-		counter_reason("lagoonpin_checkpoints_lost", "bad_token");
+		counter_inc_reason("lagoonpin_checkpoints_lost", "bad_token");
 		token = "";
 	}
 	ledger_checkpoint_answered(s->ledger, c->task, c->attempt, result,
--- a/lagoonpind/task_state.c
+++ b/lagoonpind/task_state.c
@@ -147,7 +147,7 @@
 	if (store_range(e->store, &range, on_ledgers, q) != STORE_OK)
 		goto fail;
 	request_begin(e->batch, &q->request, r);
-	httpd_on_gone(r, request_gone, &q->request);
+	httpd_on_disconnect(r, request_gone, &q->request);
 	return;
 
 fail:
--- a/lagoonpind/task_write.c
+++ b/lagoonpind/task_write.c
@@ -226,7 +226,7 @@
 	return;
 
 fail:
-	counter_reason("lagoonpin_ledger_writes", "not_queued");
+	counter_inc_reason("lagoonpin_ledger_writes", "not_queued");
 	log_error("ledger_not_written", "shard=%s epoch=%llu reason=not_queued",
 	    s->name, (unsigned long long)l->epoch);
 	free(value);
@@ -250,7 +250,7 @@
 	s = p->shard;
 	ours = p->write == s->writes && s->ledger != NULL;
 	free(p);
-	counter_reason("lagoonpin_ledger_writes", outcomes[result->outcome]);
+	counter_inc_reason("lagoonpin_ledger_writes", outcomes[result->outcome]);
 	if (!ours || s->batch->entry->phase == ENTRY_CLOSING)
 		return;
 	now_ms = clock_now_ms();
@@ -337,7 +337,7 @@
 				head = NULL;
 		}
 	} else
-		counter_reason("lagoonpin_ledger_reads_failed",
+		counter_inc_reason("lagoonpin_ledger_reads_failed",
 		    store_strerror(result->error));
 	now_ms = clock_now_ms();
 	ledger_read_done(s->ledger, head, revision, r->sent_ms, now_ms);
--- a/lagoonpind/vms.c
+++ b/lagoonpind/vms.c
@@ -92,7 +92,7 @@
 	if (result->error == HTTPC_ERR_CANCELLED)
 		return;
 	if (result->error != HTTPC_OK || result->status != 200) {
-		counter_reason("lagoonpin_vm_list_errors", "unreachable");
+		counter_inc_reason("lagoonpin_vm_list_errors", "unreachable");
 		log_debug("vm_list_unreachable", "url=%s status=%d error=%d",
 		    e->vms->url, result->status, (int)result->error);
 		return;
@@ -110,7 +110,7 @@
 
 	error = vmlist_parse(text, len, &infos, &n, &fault);
 	if (error != VMLIST_OK) {
-		counter_reason("lagoonpin_vm_list_errors", "rubbish");
+		counter_inc_reason("lagoonpin_vm_list_errors", "rubbish");
 		log_warn("vm_list_refused", "reason=\"%s\" vm=%zu field=%s",
 		    vmlist_strerror(error), fault.index, fault.field);
 		return;
--- a/lib/commit.c
+++ b/lib/commit.c
@@ -57,8 +57,8 @@
 	c->options = *options;
 	if (c->options.read_back_ms <= 0)
 		c->options.read_back_ms = READ_BACK_MS;
-	if (c->options.settle_max_ms <= 0)
-		c->options.settle_max_ms = READ_BACK_MAX_MS;
+	if (c->options.read_back_max_ms <= 0)
+		c->options.read_back_max_ms = READ_BACK_MAX_MS;
 	if (c->options.max_ops == 0)
 		c->options.max_ops = MAX_OPS;
 	if (c->options.max_bytes == 0)
@@ -83,7 +83,7 @@
 		return;
 	c->closing = true;
 	c->busy++;
-	if (c->in_flight == FLIGHT_PUTS) {
+	if (c->in_flight == IN_FLIGHT_PUTS) {
 		TAILQ_FOREACH (key, &c->sent, link)
 			STAILQ_FIRST(&key->items)->outcome_unknown = true;
 	}
@@ -102,7 +102,7 @@
 static void
 free_if_over(struct commit *c)
 {
-	if (c->closing && c->busy == 0 && c->in_flight == FLIGHT_NONE)
+	if (c->closing && c->busy == 0 && c->in_flight == IN_FLIGHT_NONE)
 		free(c);
 }
 
@@ -178,10 +178,10 @@
 	int64_t due_ms;
 
 	due_ms = INT64_MAX;
-	if (c->closing || c->in_flight != FLIGHT_NONE)
+	if (c->closing || c->in_flight != IN_FLIGHT_NONE)
 		return due_ms;
 	if (!TAILQ_EMPTY(&c->unresolved))
-		due_ms = c->settle_due_ms;
+		due_ms = c->read_back_due_ms;
 	if (!TAILQ_EMPTY(&c->ready) && c->next_send_ms < due_ms)
 		due_ms = c->next_send_ms;
 	/* The pace holds for reading back too. */
@@ -197,8 +197,8 @@
 		return;
 	c->busy++;
 	c->next_send_ms = now_ms + c->options.commit_ms;
-	if (!TAILQ_EMPTY(&c->unresolved) && c->settle_due_ms <= now_ms) {
-		c->settle_due_ms = now_ms + c->settle_wait_ms;
+	if (!TAILQ_EMPTY(&c->unresolved) && c->read_back_due_ms <= now_ms) {
+		c->read_back_due_ms = now_ms + c->read_back_wait_ms;
 		sent = send_read_back(c);
 	} else
 		sent = send_puts(c);
@@ -234,7 +234,7 @@
 	txn.nsuccess = batch.nsuccess;
 	txn.failure = batch.failure;
 	txn.nfailure = batch.nkeys;
-	c->in_flight = FLIGHT_PUTS;
+	c->in_flight = IN_FLIGHT_PUTS;
 	hand_over(c, &txn);
 	commit_batch_close(&batch);
 	return true;
@@ -258,7 +258,7 @@
 	memset(&txn, 0, sizeof(txn));
 	txn.success = batch.success;
 	txn.nsuccess = batch.nsuccess;
-	c->in_flight = FLIGHT_READ_BACK;
+	c->in_flight = IN_FLIGHT_READ_BACK;
 	hand_over(c, &txn);
 	commit_batch_close(&batch);
 	return true;
@@ -287,11 +287,11 @@
     struct commit *c, const struct store_txn_result *result, int64_t now_ms)
 {
 	c->busy++;
-	if (c->in_flight == FLIGHT_READ_BACK)
+	if (c->in_flight == IN_FLIGHT_READ_BACK)
 		answer_read_back(c, result, now_ms);
 	else
 		answer_puts(c, result, now_ms);
-	c->in_flight = FLIGHT_NONE;
+	c->in_flight = IN_FLIGHT_NONE;
 	c->busy--;
 	free_if_over(c);
 }
@@ -333,12 +333,12 @@
 		n++;
 	if (result->error != STORE_OK || result->nops != n) {
 		wait_longer(c);
-		c->settle_due_ms = now_ms + c->settle_wait_ms;
+		c->read_back_due_ms = now_ms + c->read_back_wait_ms;
 		while ((key = TAILQ_FIRST(&c->sent)) != NULL)
 			move(key, &c->unresolved);
 		return;
 	}
-	c->settle_due_ms = now_ms;
+	c->read_back_due_ms = now_ms;
 	for (i = 0; (key = TAILQ_FIRST(&c->sent)) != NULL; i++)
 		judge(c, key, kv_of(&result->ops[i]));
 }
@@ -390,8 +390,8 @@
 		if (item->outcome_unknown)
 			wait_longer(c);
 		else
-			c->settle_wait_ms = c->options.read_back_ms;
-		c->settle_due_ms = now_ms + c->settle_wait_ms;
+			c->read_back_wait_ms = c->options.read_back_ms;
+		c->read_back_due_ms = now_ms + c->read_back_wait_ms;
 	}
 	item->outcome_unknown = true;
 	move(key, &c->unresolved);
@@ -400,9 +400,9 @@
 static void
 wait_longer(struct commit *c)
 {
-	c->settle_wait_ms *= 2;
-	if (c->settle_wait_ms > c->options.settle_max_ms)
-		c->settle_wait_ms = c->options.settle_max_ms;
+	c->read_back_wait_ms *= 2;
+	if (c->read_back_wait_ms > c->options.read_back_max_ms)
+		c->read_back_wait_ms = c->options.read_back_max_ms;
 }
 
 /* The key isn't as the put wants it, or it is read back: what it holds now. */
@@ -427,7 +427,7 @@
 	}
 	result.outcome = COMMIT_CONFLICT;
 	result.current = kv;
-	result.may_have_been = item->outcome_unknown;
+	result.may_have_been_applied = item->outcome_unknown;
 	if ((kv != NULL ? kv->mod_revision : 0) == item->expected) {
 		/*
 		 * The first sending may still arrive, when what the second
--- a/lib/commit.h
+++ b/lib/commit.h
@@ -44,7 +44,7 @@
 	 * Of COMMIT_CONFLICT: an answer was lost, so the put may have been
 	 * applied and then replaced by what is there now.
 	 */
-	bool may_have_been;
+	bool may_have_been_applied;
 };
 
 typedef void commit_done(const struct commit_result *, void *ctx);
@@ -73,7 +73,7 @@
 struct commit_options {
 	int64_t commit_ms; /* shortest time between two transactions */
 	int64_t read_back_ms; /* first wait before reading back; 0: 100 */
-	int64_t settle_max_ms; /* 0: 2000 */
+	int64_t read_back_max_ms; /* 0: 2000 */
 	size_t max_ops; /* of a transaction; 0: 100 */
 	size_t max_bytes; /* of its values, unless it is one put; 0: 1 MiB */
 	size_t max_queued; /* puts; 0: 10000 */
--- a/lib/commit_int.h
+++ b/lib/commit_int.h
@@ -36,7 +36,7 @@
 
 RB_HEAD(commit_keys, commit_key);
 
-enum commit_flight { FLIGHT_NONE, FLIGHT_PUTS, FLIGHT_READ_BACK };
+enum commit_in_flight { IN_FLIGHT_NONE, IN_FLIGHT_PUTS, IN_FLIGHT_READ_BACK };
 
 struct commit {
 	struct commit_options options;
@@ -45,10 +45,10 @@
 	struct commit_key_list sent; /* in the order of the transaction */
 	struct commit_key_list unresolved; /* to be read back */
 	size_t pending;
-	enum commit_flight in_flight;
+	enum commit_in_flight in_flight;
 	int64_t next_send_ms;
-	int64_t settle_due_ms;
-	int64_t settle_wait_ms;
+	int64_t read_back_due_ms;
+	int64_t read_back_wait_ms;
 	int busy; /* depth of callbacks in which it isn't freed */
 	bool closing;
 };
--- a/lib/counter.c
+++ b/lib/counter.c
@@ -106,7 +106,7 @@
 }
 
 void
-counter_reason(const char *name, const char *reason)
+counter_inc_reason(const char *name, const char *reason)
 {
 	char labels[LABELS_MAX];
 
--- a/lib/counter.h
+++ b/lib/counter.h
@@ -27,7 +27,7 @@
 void counter_inc(const char *name, const char *labels);
 
 /* The usual case: name{reason="..."} goes up by one. */
-void counter_reason(const char *name, const char *reason);
+void counter_inc_reason(const char *name, const char *reason);
 
 /*
  * Latency in milliseconds, by service: buckets, sum and count, as
--- a/lib/httpc.c
+++ b/lib/httpc.c
@@ -188,7 +188,7 @@
 }
 
 void
-httpc_settle(struct httpc *h)
+httpc_process_results(struct httpc *h)
 {
 	if (h->in_curl > 0)
 		return;
--- a/lib/httpc_int.h
+++ b/lib/httpc_int.h
@@ -50,7 +50,7 @@
 };
 
 /* httpc.c: after each time that libcurl has worked. */
-void httpc_settle(struct httpc *);
+void httpc_process_results(struct httpc *);
 
 /* httpc_call.c */
 /* Give libcurl all that the request says; -1: no memory or a bad header. */
--- a/lib/httpc_loop.c
+++ b/lib/httpc_loop.c
@@ -118,5 +118,5 @@
 	h->in_curl++;
 	curl_multi_socket_action(h->multi, socket, events, &running);
 	h->in_curl--;
-	httpc_settle(h);
+	httpc_process_results(h);
 }
--- a/lib/httpd.c
+++ b/lib/httpd.c
@@ -111,7 +111,7 @@
 }
 
 void
-httpd_close_idle_soon(struct httpd *h)
+httpd_close_after_response(struct httpd *h)
 {
 	h2o_context_request_shutdown(&h->context);
 }
--- a/lib/httpd.h
+++ b/lib/httpd.h
@@ -28,7 +28,7 @@
  * The caller went away before the answer was complete.  The request must not
  * be used afterwards.  Not called after the answer is complete.
  */
-typedef void httpd_gone(struct httpd_request *, void *ctx);
+typedef void httpd_disconnected(struct httpd_request *, void *ctx);
 
 struct httpd_options {
 	uv_loop_t *loop;
@@ -55,7 +55,7 @@
  * Go on serving, but close each connection after its next answer, so that
  * callers connect elsewhere.
  */
-void httpd_close_idle_soon(struct httpd *);
+void httpd_close_after_response(struct httpd *);
 
 /* Close everything, open requests included; the loop must then run once more.
  */
@@ -72,7 +72,7 @@
 const char *httpd_request_header(struct httpd_request *, const char *name);
 
 /* Be told when the caller goes away. */
-void httpd_on_gone(struct httpd_request *, httpd_gone *, void *ctx);
+void httpd_on_disconnect(struct httpd_request *, httpd_disconnected *, void *ctx);
 
 /* Answer whole; body and headers are copied.  The request is used up. */
 void httpd_reply(struct httpd_request *, int status,
--- a/lib/httpd_request.c
+++ b/lib/httpd_request.c
@@ -24,7 +24,7 @@
 	size_t queued_len;
 	size_t queued_size;
 	char *in_flight; /* the piece h2o has */
-	httpd_gone *on_gone;
+	httpd_disconnected *on_gone;
 	void *gone_ctx;
 };
 
@@ -150,7 +150,7 @@
 }
 
 void
-httpd_on_gone(struct httpd_request *r, httpd_gone *on_gone, void *ctx)
+httpd_on_disconnect(struct httpd_request *r, httpd_disconnected *on_gone, void *ctx)
 {
 	r->on_gone = on_gone;
 	r->gone_ctx = ctx;
@@ -312,7 +312,7 @@
 static void
 tell_gone(struct httpd_request *r)
 {
-	httpd_gone *on_gone;
+	httpd_disconnected *on_gone;
 
 	if (r->state == ANSWER_COMPLETE)
 		return;
--- a/lib/refused.c
+++ b/lib/refused.c
@@ -82,7 +82,7 @@
 		entry_free(r, entry);
 	}
 	entry_add(r, key, reason);
-	counter_reason(r->counter, reason);
+	counter_inc_reason(r->counter, reason);
 	log_warn("entry_refused", "key=%s reason=%s",
 	    log_quote(key, quoted, sizeof(quoted)), reason);
 }
--- a/lib/store_call.c
+++ b/lib/store_call.c
@@ -377,7 +377,7 @@
 	if (due_ms >= call->deadline_ms)
 		return false;
 	call->due_ms = due_ms;
-	counter_reason("lagoonpin_store_retries", reason);
+	counter_inc_reason("lagoonpin_store_retries", reason);
 	return true;
 }
 
@@ -397,7 +397,7 @@
 {
 	TAILQ_REMOVE(&call->store->waiting, call, link);
 	if (error != STORE_OK)
-		counter_reason("lagoonpin_store_errors", store_strerror(error));
+		counter_inc_reason("lagoonpin_store_errors", store_strerror(error));
 	switch (call->kind) {
 	case CALL_RANGE:
 		result->range.error = error;
--- a/lib/store_watch.c
+++ b/lib/store_watch.c
@@ -333,7 +333,7 @@
 	was_open = w->state == WATCH_OPEN;
 	w->state = WATCH_WAITING;
 	w->due_ms = clock_now_ms() + store_backoff_ms(w->store, w->failures++);
-	counter_reason("lagoonpin_store_retries", reason);
+	counter_inc_reason("lagoonpin_store_retries", reason);
 	w->busy++;
 	drop_http(w);
 	if (was_open && !w->closed && w->on_lost != NULL)
@@ -348,7 +348,7 @@
 {
 	log_info("store_watch_lost", "prefix=%s loss=%s", w->prefix,
 	    loss == STORE_WATCH_COMPACTED ? "compacted" : "cancelled");
-	counter_reason("lagoonpin_store_errors",
+	counter_inc_reason("lagoonpin_store_errors",
 	    loss == STORE_WATCH_COMPACTED ? "compacted" : "watch_cancelled");
 	w->state = WATCH_OVER;
 	drop_http(w);
--- a/lib/wire.c
+++ b/lib/wire.c
@@ -44,7 +44,7 @@
 void
 wire_refused(const char *reason)
 {
-	counter_reason("lagoonpin_peer_refused", reason);
+	counter_inc_reason("lagoonpin_peer_refused", reason);
 }
 
 enum wire_error
--- a/tests/test_base.cc
+++ b/tests/test_base.cc
@@ -64,9 +64,9 @@
 TEST(CounterTest, OneSeriesForNameAndLabels)
 {
 	counter_reset();
-	counter_reason("lagoonpin_x", "full");
-	counter_reason("lagoonpin_x", "full");
-	counter_reason("lagoonpin_x", "late");
+	counter_inc_reason("lagoonpin_x", "full");
+	counter_inc_reason("lagoonpin_x", "full");
+	counter_inc_reason("lagoonpin_x", "late");
 	counter_set(counter_get("lagoonpin_y", ""), 7);
 	EXPECT_EQ(
 	    2u, counter_value(counter_get("lagoonpin_x", "reason=\"full\"")));
--- a/tests/test_commit.cc
+++ b/tests/test_commit.cc
@@ -49,7 +49,7 @@
 	enum store_error error = STORE_OK;
 	int64_t revision = 0;
 	std::string current;
-	bool may_have_been = false;
+	bool may_have_been_applied = false;
 };
 
 /* A store and the network before it, which follows a list of fates. */
@@ -61,7 +61,7 @@
 
 		o.commit_ms = COMMIT_MS;
 		o.settle_ms = 10;
-		o.settle_max_ms = 40;
+		o.read_back_max_ms = 40;
 		o.max_ops = 4;
 		o.send = send;
 		o.ctx = this;
@@ -154,7 +154,7 @@
 		o->outcome = r->outcome;
 		o->error = r->error;
 		o->revision = r->mod_revision;
-		o->may_have_been = r->may_have_been;
+		o->may_have_been_applied = r->may_have_been_applied;
 		if (r->current != NULL)
 			o->current = r->current->value;
 	}
@@ -345,7 +345,7 @@
 				      REFUSED) > 0,
 			    true);
 		} else if (o->outcome == COMMIT_NOT_WRITTEN ||
-		    !o->may_have_been) {
+		    !o->may_have_been_applied) {
 			EXPECT_EQ(times, 0U) << o->value;
 		}
 	}
@@ -409,7 +409,7 @@
 	EXPECT_EQ(a.outcome, COMMIT_WRITTEN);
 	EXPECT_EQ(b.outcome, COMMIT_CONFLICT);
 	EXPECT_EQ(b.current, "b0");
-	EXPECT_FALSE(b.may_have_been);
+	EXPECT_FALSE(b.may_have_been_applied);
 	EXPECT_EQ(c.outcome, COMMIT_WRITTEN);
 	EXPECT_EQ(m.sends, 2U);
 }
--- a/tests/test_httpd.cc
+++ b/tests/test_httpd.cc
@@ -194,7 +194,7 @@
 		client = Client();
 		handler = [&](struct httpd_request *r) {
 			kept = r;
-			httpd_on_gone(
+			httpd_on_disconnect(
 			    r,
 			    [](struct httpd_request *, void *ctx) {
 				    ++*(int *)ctx;
--- a/vmstand/main.c
+++ b/vmstand/main.c
@@ -201,7 +201,7 @@
 	uv_timer_init(p->loop, &d->timer);
 	d->timer.data = d;
 	LIST_INSERT_HEAD(&p->delayed, d, link);
-	httpd_on_gone(request, caller_gone, d);
+	httpd_on_disconnect(request, caller_gone, d);
 	uv_timer_start(&d->timer, delay_over, (uint64_t)p->delay_ms, 0);
 }
 
@@ -246,7 +246,7 @@
 	(void)signum;
 	p = handle->data;
 	while ((d = LIST_FIRST(&p->delayed)) != NULL) {
-		httpd_on_gone(d->request, NULL, NULL);
+		httpd_on_disconnect(d->request, NULL, NULL);
 		delayed_free(d);
 	}
 	httpd_close(p->httpd);
--- a/workstand/exchange.c
+++ b/workstand/exchange.c
@@ -152,7 +152,7 @@
 	while ((x = TAILQ_FIRST(list)) != NULL) {
 		TAILQ_REMOVE(list, x, link);
 		x->held = false;
-		httpd_on_gone(x->request, NULL, NULL);
+		httpd_on_disconnect(x->request, NULL, NULL);
 		release(x);
 	}
 }
@@ -194,7 +194,7 @@
 		cut(request);
 		return;
 	}
-	httpd_on_gone(request, caller_gone, x);
+	httpd_on_disconnect(request, caller_gone, x);
 	if (x->fault.mode == FAULT_FREEZE)
 		hold(x, &g->frozen);
 	else
