--- a/bench/skew/bytes.c
+++ b/bench/skew/bytes.c
@@ -37,7 +37,7 @@
 double
 want_bytes(struct lending_load load)
 {
-	struct wire_want want;
+	struct wire_credit_request want;
 	msgpack_sbuffer payload;
 	double bytes;
 
@@ -46,8 +46,8 @@
 	want.load = load;
 	want.amount.slots = want.amount.connections = load.needed;
 	msgpack_sbuffer_init(&payload);
-	wire_encode_want(&payload, &want);
-	bytes = 2 * message_bytes(WIRE_WANT, &payload);
+	wire_encode_credit_request(&payload, &want);
+	bytes = 2 * message_bytes(WIRE_CREDIT_REQUEST, &payload);
 	msgpack_sbuffer_destroy(&payload);
 	return bytes;
 }
--- a/entry/codec.c
+++ b/entry/codec.c
@@ -39,7 +39,7 @@
 static bool
 get_number(const json_t *object, const char *key, int64_t *value)
 {
-	return json_whole_or(
+	return json_to_int64_or(
 	    json_object_get(object, key), 0, INT64_MAX, 0, value);
 }
 
@@ -50,7 +50,7 @@
 
 	*value = 0;
 	field = json_object_get(object, key);
-	return field == NULL || json_count(field, value);
+	return field == NULL || json_to_uint32(field, value);
 }
 
 static bool
@@ -236,7 +236,7 @@
 		return false;
 	json_array_foreach(list, i, row)
 	{
-		if (!json_count(row, &step->after[step->nafter++]))
+		if (!json_to_uint32(row, &step->after[step->nafter++]))
 			return false;
 	}
 	return true;
@@ -391,7 +391,7 @@
 {
 	uint32_t value;
 
-	return json_count(json_array_get(row, column), &value) ? value : 0;
+	return json_to_uint32(json_array_get(row, column), &value) ? value : 0;
 }
 
 static void
@@ -418,7 +418,7 @@
 	json_array_foreach(list, i, row)
 	{
 		for (j = 0; j < columns; j++) {
-			if (!json_count(json_array_get(row, j), &number))
+			if (!json_to_uint32(json_array_get(row, j), &number))
 				return false;
 		}
 	}
@@ -436,7 +436,7 @@
 		return false;
 	json_array_foreach(list, i, row)
 	{
-		if (!json_count(row, &number))
+		if (!json_to_uint32(row, &number))
 			return false;
 	}
 	return true;
@@ -493,7 +493,7 @@
 
 	json_array_foreach(json_object_get(object, "occurrences"), i, row)
 	{
-		if (json_count(row, &number))
+		if (json_to_uint32(row, &number))
 			sched_load_occurrence_done(job, number);
 	}
 	json_array_foreach(json_object_get(object, "steps"), i, row)
@@ -585,9 +585,9 @@
 bool
 codec_read_task(const json_t *row, size_t at, struct task_name *task)
 {
-	return json_name(
+	return json_to_string(
 		   json_array_get(row, at), task->job, sizeof(task->job)) &&
-	    json_count(json_array_get(row, at + 1), &task->occurrence) &&
-	    json_count(json_array_get(row, at + 2), &task->step) &&
-	    json_count(json_array_get(row, at + 3), &task->index);
+	    json_to_uint32(json_array_get(row, at + 1), &task->occurrence) &&
+	    json_to_uint32(json_array_get(row, at + 2), &task->step) &&
+	    json_to_uint32(json_array_get(row, at + 3), &task->index);
 }
--- a/entry/election.c
+++ b/entry/election.c
@@ -27,13 +27,13 @@
 
 	memset(leader, 0, sizeof(*leader));
 	object = json_loadb(item->value, item->len, 0, NULL);
-	result = json_name(json_object_get(object, "id"), leader->id,
+	result = json_to_string(json_object_get(object, "id"), leader->id,
 		     sizeof(leader->id)) &&
-	    json_name(json_object_get(object, "address"), leader->address,
+	    json_to_string(json_object_get(object, "address"), leader->address,
 		sizeof(leader->address)) &&
-	    json_whole(json_object_get(object, "incarnation"), 0, INT64_MAX,
+	    json_to_int64(json_object_get(object, "incarnation"), 0, INT64_MAX,
 		&incarnation) &&
-	    json_whole(json_object_get(object, "term"), 1, INT64_MAX, &term);
+	    json_to_int64(json_object_get(object, "term"), 1, INT64_MAX, &term);
 	json_decref(object);
 	if (!result)
 		return false;
--- a/entry/lead_record.c
+++ b/entry/lead_record.c
@@ -91,7 +91,7 @@
 	const char *address;
 
 	address = json_string_value(json_array_get(row, 1));
-	if (!json_name(json_array_get(row, 0), id, sizeof(id)) ||
+	if (!json_to_string(json_array_get(row, 0), id, sizeof(id)) ||
 	    address == NULL || strlen(address) >= sizeof(worker->address))
 		return NULL;
 	if ((worker = sched_worker_get(l->sched, id)) == NULL) {
@@ -119,9 +119,9 @@
 	memset(&from, 0, sizeof(from));
 	from.record = RECORD_IN_USE;
 	if (json_array_size(row) > 3 &&
-	    json_whole(json_array_get(row, 2), 0, INT64_MAX - 1, &term) &&
+	    json_to_int64(json_array_get(row, 2), 0, INT64_MAX - 1, &term) &&
 	    (uint64_t)term + 1 >= l->sched->opt.term &&
-	    json_whole_or(json_array_get(row, 4), 0, INT32_MAX, 0, &left_ms) &&
+	    json_to_int64_or(json_array_get(row, 4), 0, INT32_MAX, 0, &left_ms) &&
 	    load_tasks(json_array_get(row, 3), &from, &tasks)) {
 		from.record =
 		    json_array_size(row) > 4 ? RECORD_EXPIRING : RECORD_CLOSED;
--- a/entry/relayread.c
+++ b/entry/relayread.c
@@ -25,7 +25,7 @@
 		return "";
 	if (o->via.str.size > max ||
 	    memchr(o->via.str.ptr, '\0', o->via.str.size) != NULL) {
-		r->error = WIRE_ERR_FORM;
+		r->error = WIRE_ERR_MALFORMED;
 		return "";
 	}
 	text = d->texts + d->used;
@@ -99,11 +99,11 @@
 	while (list.error == WIRE_OK && list.left > 0) {
 		one = wire_array(&list, START_ITEMS);
 		get_order(d, &one, &order);
-		wire_finish(&list, &one);
+		wire_end_array(&list, &one);
 		if (list.error == WIRE_OK && d->to->order != NULL)
 			d->to->order(leader, address, term, &order, d->to->ctx);
 	}
-	wire_finish(r, &list);
+	wire_end_array(r, &list);
 }
 
 /* Read a delta row: index in the base list, and the fields that change. */
@@ -117,7 +117,7 @@
 	has_checkpoint = r->left == DELTA_CHECKPOINT_ITEMS;
 	index = wire_uint(r, SIZE_MAX);
 	if (base == NULL || index >= base->n) {
-		r->error = WIRE_ERR_FORM;
+		r->error = WIRE_ERR_MALFORMED;
 		return;
 	}
 	*row = base->rows[index];
@@ -164,9 +164,9 @@
 	while (rows != NULL && list.error == WIRE_OK && list.left > 0) {
 		one = wire_array(&list, RUNNING_ITEMS);
 		get_running(d, &one, base, &rows[(*n)++]);
-		wire_finish(&list, &one);
+		wire_end_array(&list, &one);
 	}
-	wire_finish(r, &list);
+	wire_end_array(r, &list);
 	return rows;
 }
 
@@ -181,9 +181,9 @@
 	while (rows != NULL && list.error == WIRE_OK && list.left > 0) {
 		one = wire_array(&list, FINISHED_ITEMS);
 		get_finished(d, &one, &rows[(*n)++]);
-		wire_finish(&list, &one);
+		wire_end_array(&list, &one);
 	}
-	wire_finish(r, &list);
+	wire_end_array(r, &list);
 	return rows;
 }
 
@@ -271,7 +271,7 @@
 		if (one.error != WIRE_OK || one.left > 0)
 			wire_refused("answer");
 	}
-	wire_finish(r, &list);
+	wire_end_array(r, &list);
 }
 
 static void
--- a/lagoonpind/borrow.c
+++ b/lagoonpind/borrow.c
@@ -16,13 +16,13 @@
     struct lend *, const char *, enum credit_kind);
 static int waiting_calls(struct lend *, const char *, int64_t);
 static struct lending_load own_load(struct entry *, const char *, int64_t);
-static int offer_of(const struct member *, const struct wire_want *, int64_t);
+static int offer_of(const struct member *, const struct wire_credit_request *, int64_t);
 static const struct member *best_peer(
-    struct entry *, const struct wire_want *, int64_t);
-static bool send_want(struct entry *, const char *, const struct wire_want *);
+    struct entry *, const struct wire_credit_request *, int64_t);
+static bool send_want(struct entry *, const char *, const struct wire_credit_request *);
 static bool request_credits(struct entry *, struct lend_demand *, int64_t);
 static struct credit_amount offer_for(
-    struct entry *, const struct wire_want *, int64_t);
+    struct entry *, const struct wire_credit_request *, int64_t);
 static void on_want(
     struct entry *, const struct wire_header *, const void *, size_t, void *);
 static void on_response(
@@ -33,7 +33,7 @@
 void
 borrow_open(struct entry *e)
 {
-	mesh_handle(e, WIRE_WANT, on_want, NULL);
+	mesh_handle(e, WIRE_CREDIT_REQUEST, on_want, NULL);
 	mesh_handle(e, WIRE_CREDITS, on_credits, NULL);
 	owners_open(e);
 }
@@ -95,7 +95,7 @@
 /* Estimates a peer's offer from the load it last reported. */
 static int
 offer_of(
-    const struct member *member, const struct wire_want *want, int64_t now_ms)
+    const struct member *member, const struct wire_credit_request *want, int64_t now_ms)
 {
 	struct lending_load load;
 
@@ -112,7 +112,7 @@
  * is more than twice theirs.
  */
 static const struct member *
-best_peer(struct entry *e, const struct wire_want *want, int64_t now_ms)
+best_peer(struct entry *e, const struct wire_credit_request *want, int64_t now_ms)
 {
 	const struct member *best[2] = { NULL, NULL }, *member;
 	int near, offer, offers[2] = { 0, 0 }, equals[2] = { 0, 0 };
@@ -143,14 +143,14 @@
 }
 
 static bool
-send_want(struct entry *e, const char *peer, const struct wire_want *want)
+send_want(struct entry *e, const char *peer, const struct wire_credit_request *want)
 {
 	msgpack_sbuffer payload;
 	bool sent;
 
 	msgpack_sbuffer_init(&payload);
-	wire_encode_want(&payload, want);
-	sent = mesh_send(e, peer, WIRE_WANT, payload.data, payload.size);
+	wire_encode_credit_request(&payload, want);
+	sent = mesh_send(e, peer, WIRE_CREDIT_REQUEST, payload.data, payload.size);
 	msgpack_sbuffer_destroy(&payload);
 	counter_inc_reason("lagoonpin_lend_wants", sent ? "sent" : "not_sent");
 	return sent;
@@ -164,7 +164,7 @@
 request_credits(struct entry *e, struct lend_demand *d, int64_t now_ms)
 {
 	const struct member *peer;
-	struct wire_want want;
+	struct wire_credit_request want;
 
 	if (d->asked_ms != 0 && now_ms - d->asked_ms < RESPONSE_TIMEOUT_MS)
 		return true;
@@ -256,7 +256,7 @@
 
 /* The amount to grant to a peer from the spare credits. */
 static struct credit_amount
-offer_for(struct entry *e, const struct wire_want *want, int64_t now_ms)
+offer_for(struct entry *e, const struct wire_credit_request *want, int64_t now_ms)
 {
 	struct credit_amount amount;
 	struct lending_load load;
@@ -286,12 +286,12 @@
 	static struct wire_transfers out;
 	struct lending_request request;
 	const struct member *member;
-	struct wire_want want;
+	struct wire_credit_request want;
 	int64_t now_ms;
 	size_t i;
 
 	(void)ctx;
-	if (wire_decode_want(payload, len, &want) != WIRE_OK)
+	if (wire_decode_credit_request(payload, len, &want) != WIRE_OK)
 		return;
 	/* Credits sent to another incarnation than the sender's are lost. */
 	member = member_find(mesh_members(e), header->from);
--- a/lagoonpind/claim_answer.c
+++ b/lagoonpind/claim_answer.c
@@ -185,7 +185,7 @@
 {
 	bool applied;
 
-	applied = error == STORE_ERR_UNKNOWN || error == STORE_ERR_RUBBISH;
+	applied = error == STORE_ERR_UNKNOWN || error == STORE_ERR_MALFORMED;
 	if (error == STORE_ERR_NO_LEASE)
 		q->store->lease = 0;
 	/* Nothing was written: retry in the next transaction. */
--- a/lagoonpind/owners.c
+++ b/lagoonpind/owners.c
@@ -20,7 +20,7 @@
 owners_open(struct entry *e)
 {
 	mesh_handle(e, WIRE_ABANDONED, on_abandoned, NULL);
-	mesh_handle(e, WIRE_HELD, on_held, NULL);
+	mesh_handle(e, WIRE_HOLDING_REPORT, on_held, NULL);
 }
 
 /* Only a hint for the owner: what exceeds one message is dropped. */
@@ -130,7 +130,7 @@
 	for (row = credit_first(e->lend->table); row != NULL;
 	     row = credit_next(row))
 		report_row(&all, row);
-	send_by_owner(e, WIRE_HELD, &all);
+	send_by_owner(e, WIRE_HOLDING_REPORT, &all);
 }
 
 static void
--- a/lib/jsonfield.c
+++ b/lib/jsonfield.c
@@ -17,7 +17,7 @@
 }
 
 bool
-json_whole(const json_t *field, int64_t min, int64_t max, int64_t *value)
+json_to_int64(const json_t *field, int64_t min, int64_t max, int64_t *value)
 {
 	int64_t number;
 
@@ -33,26 +33,26 @@
 }
 
 bool
-json_whole_or(const json_t *field, int64_t min, int64_t max, int64_t fallback,
+json_to_int64_or(const json_t *field, int64_t min, int64_t max, int64_t fallback,
     int64_t *value)
 {
 	*value = fallback;
-	return field == NULL || json_whole(field, min, max, value);
+	return field == NULL || json_to_int64(field, min, max, value);
 }
 
 bool
-json_count(const json_t *field, uint32_t *value)
+json_to_uint32(const json_t *field, uint32_t *value)
 {
 	int64_t number;
 
-	if (!json_whole(field, 0, UINT32_MAX, &number))
+	if (!json_to_int64(field, 0, UINT32_MAX, &number))
 		return false;
 	*value = (uint32_t)number;
 	return true;
 }
 
 bool
-json_name(const json_t *field, char *buf, size_t size)
+json_to_string(const json_t *field, char *buf, size_t size)
 {
 	if (!json_is_string(field) || json_string_length(field) == 0 ||
 	    json_string_length(field) != strlen(json_string_value(field)))
--- a/lib/jsonfield.h
+++ b/lib/jsonfield.h
@@ -17,13 +17,13 @@
  * is of another type: cut off or wrapped around, it would be used as if
  * somebody had meant it.
  */
-bool json_whole(const json_t *, int64_t min, int64_t max, int64_t *value);
+bool json_to_int64(const json_t *, int64_t min, int64_t max, int64_t *value);
 /* The same where the field may be left out: *value is the fallback then. */
-bool json_whole_or(
+bool json_to_int64_or(
     const json_t *, int64_t min, int64_t max, int64_t fallback, int64_t *value);
 /* A whole number of 32 bits. */
-bool json_count(const json_t *, uint32_t *value);
+bool json_to_uint32(const json_t *, uint32_t *value);
 /* A text of at least one byte that fits in. */
-bool json_name(const json_t *, char *buf, size_t size);
+bool json_to_string(const json_t *, char *buf, size_t size);
 
 #endif /* JSONFIELD_H */
--- a/lib/record.c
+++ b/lib/record.c
@@ -85,7 +85,7 @@
 			}
 			if (!check_known(s, name, value, fault))
 				return false;
-		} else if (!schema_knows(s, group, name)) {
+		} else if (!schema_has_field(s, group, name)) {
 			set_fault(
 			    fault, RECORD_ERR_UNKNOWN_FIELD, group, name, "");
 			return false;
--- a/lib/schema.c
+++ b/lib/schema.c
@@ -79,7 +79,7 @@
 }
 
 bool
-schema_knows(const struct schema *s, const char *group, const char *name)
+schema_has_field(const struct schema *s, const char *group, const char *name)
 {
 	const struct schema_field *f;
 
--- a/lib/store.c
+++ b/lib/store.c
@@ -136,18 +136,18 @@
 	 * libuv runs a timer again and again within one turn when its callback
 	 * sets it to 0, and never comes to its sockets.
 	 */
-	store_arm(s, 1);
+	store_arm_timer(s, 1);
 }
 
 void
-store_arm(struct store *s, int64_t least_ms)
+store_arm_timer(struct store *s, int64_t least_ms)
 {
 	int64_t due_ms, watch_due_ms, delay_ms;
 
 	if (s->closing)
 		return;
-	due_ms = store_calls_due_ms(s);
-	watch_due_ms = store_watches_due_ms(s);
+	due_ms = store_calls_next_due_ms(s);
+	watch_due_ms = store_watches_next_due_ms(s);
 	if (watch_due_ms < due_ms)
 		due_ms = watch_due_ms;
 	if (due_ms == INT64_MAX) {
@@ -161,7 +161,7 @@
 }
 
 bool
-store_take_budget(struct store *s, int64_t now_ms, bool always)
+store_consume_budget(struct store *s, int64_t now_ms, bool always)
 {
 	if (s->calls_per_s <= 0)
 		return true;
@@ -253,7 +253,7 @@
 		return "compacted";
 	case STORE_ERR_NO_LEASE:
 		return "no_lease";
-	case STORE_ERR_RUBBISH:
+	case STORE_ERR_MALFORMED:
 		return "rubbish";
 	case STORE_ERR_CANCELLED:
 		return "cancelled";
--- a/lib/store.h
+++ b/lib/store.h
@@ -31,7 +31,7 @@
 	STORE_ERR_REFUSED, /* the store called the request bad: not applied */
 	STORE_ERR_COMPACTED, /* the revision asked for is gone */
 	STORE_ERR_NO_LEASE, /* the lease has lapsed or never was */
-	STORE_ERR_RUBBISH, /* the answer to a read doesn't parse */
+	STORE_ERR_MALFORMED, /* the answer to a read doesn't parse */
 	STORE_ERR_CANCELLED, /* store_close: not applied */
 	STORE_ERR_MEMORY /* not sent */
 };
--- a/lib/store_call.c
+++ b/lib/store_call.c
@@ -85,7 +85,7 @@
 queue(struct store_call *call)
 {
 	TAILQ_INSERT_TAIL(&call->store->waiting, call, link);
-	store_arm(call->store, 0);
+	store_arm_timer(call->store, 0);
 	return STORE_OK;
 }
 
@@ -179,7 +179,7 @@
 }
 
 int64_t
-store_calls_due_ms(const struct store *s)
+store_calls_next_due_ms(const struct store *s)
 {
 	const struct store_call *call;
 	int64_t due_ms;
@@ -216,7 +216,7 @@
 		return;
 	}
 	/* A refused keepalive would cost the entry its registration. */
-	if (!store_take_budget(s, now_ms, call->kind == CALL_LEASE_KEEPALIVE)) {
+	if (!store_consume_budget(s, now_ms, call->kind == CALL_LEASE_KEEPALIVE)) {
 		if (call->tries == 0 || !try_again(call, "budget"))
 			give_up(call, STORE_ERR_BUDGET);
 		return;
@@ -280,11 +280,11 @@
 	if (error == STORE_OK)
 		error = decode(call, result, &decoded);
 	if (error == STORE_ERR_UNAVAILABLE || error == STORE_ERR_UNKNOWN ||
-	    error == STORE_ERR_RUBBISH) {
+	    error == STORE_ERR_MALFORMED) {
 		store_next_endpoint(s);
 		if (!call->once && !s->closing &&
 		    try_again(call, retry_reason(result, error))) {
-			store_arm(s, 0);
+			store_arm_timer(s, 0);
 			return;
 		}
 	} else if (error != STORE_ERR_CANCELLED && error != STORE_ERR_MEMORY)
@@ -318,7 +318,7 @@
 	if (result->error == HTTPC_ERR_MEMORY)
 		return STORE_ERR_MEMORY;
 	if (result->error == HTTPC_ERR_TOO_LARGE)
-		return STORE_ERR_RUBBISH;
+		return STORE_ERR_MALFORMED;
 	return STORE_ERR_UNAVAILABLE;
 }
 
@@ -362,7 +362,7 @@
 	}
 	if (rc == 0)
 		return STORE_OK;
-	return call->once ? STORE_ERR_UNKNOWN : STORE_ERR_RUBBISH;
+	return call->once ? STORE_ERR_UNKNOWN : STORE_ERR_MALFORMED;
 }
 
 /* Wait for the next try, if it begins before the deadline. */
--- a/lib/store_int.h
+++ b/lib/store_int.h
@@ -50,11 +50,11 @@
 
 /* store.c */
 /* Take one call off the budget; false when it is used up. */
-bool store_take_budget(struct store *, int64_t now_ms, bool always);
+bool store_consume_budget(struct store *, int64_t now_ms, bool always);
 /* Full jitter: between 0 and the step for the number of failures before. */
 int64_t store_backoff_ms(struct store *, unsigned int failures);
 /* Set the timer for the earliest thing due, but not before least_ms. */
-void store_arm(struct store *, int64_t least_ms);
+void store_arm_timer(struct store *, int64_t least_ms);
 /* The URL of a path at the endpoint in use; -1 when it doesn't fit. */
 int store_url(const struct store *, const char *path, char *, size_t);
 /* The endpoint in use failed: take the next one. */
@@ -65,12 +65,12 @@
 /* store_call.c */
 void store_calls_tick(struct store *, int64_t now_ms);
 /* The earliest time that something is due, or INT64_MAX. */
-int64_t store_calls_due_ms(const struct store *);
+int64_t store_calls_next_due_ms(const struct store *);
 void store_calls_close(struct store *);
 
 /* store_watch.c */
 void store_watches_tick(struct store *, int64_t now_ms);
-int64_t store_watches_due_ms(const struct store *);
+int64_t store_watches_next_due_ms(const struct store *);
 void store_watches_close(struct store *);
 
 #endif /* STORE_INT_H */
--- a/lib/store_watch.c
+++ b/lib/store_watch.c
@@ -72,7 +72,7 @@
 	w->on_lost = o->on_lost;
 	w->ctx = o->ctx;
 	TAILQ_INSERT_TAIL(&s->watches, w, link);
-	store_arm(s, 0);
+	store_arm_timer(s, 0);
 	return w;
 }
 
@@ -110,7 +110,7 @@
 }
 
 int64_t
-store_watches_due_ms(const struct store *s)
+store_watches_next_due_ms(const struct store *s)
 {
 	const struct store_watch *w;
 	int64_t due_ms, idle_ms;
@@ -158,7 +158,7 @@
 	struct httpc_request request;
 	char url[URL_MAX], *body;
 
-	if (!store_take_budget(w->store, now_ms, false)) {
+	if (!store_consume_budget(w->store, now_ms, false)) {
 		wait_again(w, "budget");
 		return;
 	}
@@ -339,7 +339,7 @@
 	if (was_open && !w->closed && w->on_lost != NULL)
 		w->on_lost(STORE_WATCH_BROKEN, w->ctx);
 	w->busy--;
-	store_arm(w->store, 0);
+	store_arm_timer(w->store, 0);
 	release(w);
 }
 
--- a/lib/wire.c
+++ b/lib/wire.c
@@ -170,7 +170,7 @@
 	/* An entry speaks only for itself: alive, leaving or left. */
 	if (state != MEMBER_ALIVE && state != MEMBER_LEAVING &&
 	    state != MEMBER_LEFT)
-		inner.error = WIRE_ERR_FORM;
+		inner.error = WIRE_ERR_MALFORMED;
 	record->state = (enum member_state)state;
 	record->store_answers = (flags & FLAG_STORE) != 0;
 	if (inner.error == WIRE_OK && inner.left > 0) {
@@ -183,7 +183,7 @@
 		wire_str(
 		    &inner, record->data_center, sizeof(record->data_center));
 	}
-	wire_finish(r, &inner);
+	wire_end_array(r, &inner);
 }
 
 static void
@@ -195,7 +195,7 @@
 	wire_str(&inner, shard->shard, sizeof(shard->shard));
 	wire_str(&inner, shard->owner, sizeof(shard->owner));
 	shard->epoch = wire_uint(&inner, UINT64_MAX);
-	wire_finish(r, &inner);
+	wire_end_array(r, &inner);
 }
 
 static void
@@ -209,12 +209,12 @@
 	for (digest->nrecords = 0; inner.error == WIRE_OK && inner.left > 0;
 	     digest->nrecords++)
 		read_record(&inner, &digest->records[digest->nrecords]);
-	wire_finish(r, &inner);
+	wire_end_array(r, &inner);
 	inner = wire_array(r, MEMBER_SHARDS_MAX);
 	for (digest->nshards = 0; inner.error == WIRE_OK && inner.left > 0;
 	     digest->nshards++)
 		read_shard(&inner, &digest->shards[digest->nshards]);
-	wire_finish(r, &inner);
+	wire_end_array(r, &inner);
 }
 
 enum wire_error
@@ -324,7 +324,7 @@
 		item->amount.slots = (int)wire_uint(&inner, AMOUNT_MAX);
 		item->amount.connections = (int)wire_uint(&inner, AMOUNT_MAX);
 	}
-	wire_finish(r, &inner);
+	wire_end_array(r, &inner);
 }
 
 static void
@@ -339,7 +339,7 @@
 	groups = wire_array(r, WIRE_TRANSFERS_MAX);
 	while (groups.error == WIRE_OK && groups.left > 0)
 		read_group(&groups, transfers);
-	wire_finish(r, &groups);
+	wire_end_array(r, &groups);
 }
 
 enum wire_error
@@ -350,7 +350,7 @@
 }
 
 enum wire_error
-wire_encode_want(struct msgpack_sbuffer *out, const struct wire_want *want)
+wire_encode_credit_request(struct msgpack_sbuffer *out, const struct wire_credit_request *want)
 {
 	msgpack_packer pk;
 
@@ -366,7 +366,7 @@
 static void
 read_want(struct wire_reader *r, void *out)
 {
-	struct wire_want *want = out;
+	struct wire_credit_request *want = out;
 
 	wire_str(r, want->service, sizeof(want->service));
 	want->amount.slots = (int)wire_uint(r, AMOUNT_MAX);
@@ -375,7 +375,7 @@
 }
 
 enum wire_error
-wire_decode_want(const void *data, size_t len, struct wire_want *want)
+wire_decode_credit_request(const void *data, size_t len, struct wire_credit_request *want)
 {
 	return wire_decode_body(data, len, read_want, want);
 }
--- a/lib/wire.h
+++ b/lib/wire.h
@@ -26,9 +26,9 @@
 	WIRE_GOSSIP = 1, /* struct member_digest */
 	WIRE_CREDITS, /* struct wire_transfers: given, or returned */
 	WIRE_ABANDONED, /* struct wire_transfers: lost at the borrower */
-	WIRE_WANT, /* struct wire_want */
+	WIRE_CREDIT_REQUEST, /* struct wire_credit_request */
 	WIRE_CONFIG, /* wireconf.h */
-	WIRE_HELD, /* struct wire_transfers without workers: a statement */
+	WIRE_HOLDING_REPORT, /* struct wire_transfers without workers: a statement */
 	WIRE_TYPE_END
 };
 
@@ -37,9 +37,9 @@
 	WIRE_ERR_MEMORY,
 	WIRE_ERR_VERSION, /* not WIRE_VERSION */
 	WIRE_ERR_TYPE, /* an unknown message type */
-	WIRE_ERR_CUT, /* ends too early */
+	WIRE_ERR_TRUNCATED, /* ends too early */
 	WIRE_ERR_TOO_LARGE, /* over WIRE_MESSAGE_MAX, or too many items */
-	WIRE_ERR_FORM /* wrong kind of value, out of range, trailing bytes */
+	WIRE_ERR_MALFORMED /* wrong kind of value, out of range, trailing bytes */
 };
 
 struct wire_header {
@@ -58,7 +58,7 @@
 };
 
 /* An entry short of credits asks a peer for some. */
-struct wire_want {
+struct wire_credit_request {
 	char service[MEMBER_ID_MAX];
 	struct credit_amount amount; /* the most that is wanted */
 	struct lending_load load; /* of the sender */
@@ -79,9 +79,9 @@
     struct msgpack_sbuffer *out, const struct wire_transfers *);
 enum wire_error wire_decode_transfers(
     const void *, size_t len, struct wire_transfers *);
-enum wire_error wire_encode_want(
-    struct msgpack_sbuffer *out, const struct wire_want *);
-enum wire_error wire_decode_want(const void *, size_t len, struct wire_want *);
+enum wire_error wire_encode_credit_request(
+    struct msgpack_sbuffer *out, const struct wire_credit_request *);
+enum wire_error wire_decode_credit_request(const void *, size_t len, struct wire_credit_request *);
 
 /* Count a refusal of the peer protocol. */
 void wire_refused(const char *reason);
--- a/lib/wire_int.h
+++ b/lib/wire_int.h
@@ -24,7 +24,7 @@
 void wire_str(struct wire_reader *, char *, size_t);
 struct wire_reader wire_array(struct wire_reader *, size_t max);
 /* The inner array must be used up and without error. */
-void wire_finish(struct wire_reader *, const struct wire_reader *inner);
+void wire_end_array(struct wire_reader *, const struct wire_reader *inner);
 
 void wire_put_str(msgpack_packer *, const char *);
 
--- a/lib/wireconf.c
+++ b/lib/wireconf.c
@@ -57,7 +57,7 @@
 	if (o == NULL || o->via.str.size == 0)
 		return "";
 	if (out->size - out->used <= o->via.str.size) {
-		r->error = WIRE_ERR_FORM;
+		r->error = WIRE_ERR_MALFORMED;
 		return "";
 	}
 	to = out->storage + out->used;
@@ -82,7 +82,7 @@
 	update->len = text == NULL ? 0 : text->via.str.size;
 	if (update->len == 0)
 		update->text = NULL;
-	wire_finish(r, &inner);
+	wire_end_array(r, &inner);
 }
 
 static void
@@ -105,7 +105,7 @@
 	}
 	for (; inner.error == WIRE_OK && inner.left > 0; delta->n++)
 		read_update(&inner, out, &delta->updates[delta->n]);
-	wire_finish(r, &inner);
+	wire_end_array(r, &inner);
 }
 
 enum wire_error
--- a/lib/wireread.c
+++ b/lib/wireread.c
@@ -32,7 +32,7 @@
 
 	memset(&r, 0, sizeof(r));
 	if (object->type != MSGPACK_OBJECT_ARRAY) {
-		r.error = WIRE_ERR_FORM;
+		r.error = WIRE_ERR_MALFORMED;
 		return r;
 	}
 	r.at = object->via.array.ptr;
@@ -46,7 +46,7 @@
 	if (r->error != WIRE_OK)
 		return NULL;
 	if (r->left == 0 || r->at->type != type) {
-		r->error = WIRE_ERR_FORM;
+		r->error = WIRE_ERR_MALFORMED;
 		return NULL;
 	}
 	r->left--;
@@ -61,7 +61,7 @@
 	if ((o = wire_next(r, MSGPACK_OBJECT_POSITIVE_INTEGER)) == NULL)
 		return 0;
 	if (o->via.u64 > max) {
-		r->error = WIRE_ERR_FORM;
+		r->error = WIRE_ERR_MALFORMED;
 		return 0;
 	}
 	return o->via.u64;
@@ -79,7 +79,7 @@
 		return;
 	if (o->via.str.size >= size ||
 	    memchr(o->via.str.ptr, '\0', o->via.str.size) != NULL) {
-		r->error = WIRE_ERR_FORM;
+		r->error = WIRE_ERR_MALFORMED;
 		return;
 	}
 	memcpy(to, o->via.str.ptr, o->via.str.size);
@@ -105,13 +105,13 @@
 
 /* The inner array must be used up and without error. */
 void
-wire_finish(struct wire_reader *r, const struct wire_reader *inner)
+wire_end_array(struct wire_reader *r, const struct wire_reader *inner)
 {
 	if (r->error != WIRE_OK)
 		return;
 	r->error = inner->error;
 	if (r->error == WIRE_OK && inner->left > 0)
-		r->error = WIRE_ERR_FORM;
+		r->error = WIRE_ERR_MALFORMED;
 }
 
 /*
@@ -135,15 +135,15 @@
 	msgpack_unpacked_init(&unpacked);
 	got = msgpack_unpack_next(&unpacked, data, len, &offset);
 	if (got == MSGPACK_UNPACK_CONTINUE)
-		outer.error = WIRE_ERR_CUT;
+		outer.error = WIRE_ERR_TRUNCATED;
 	else if (got == MSGPACK_UNPACK_NOMEM_ERROR)
 		outer.error = WIRE_ERR_MEMORY;
 	else if (got != MSGPACK_UNPACK_SUCCESS || offset != len)
-		outer.error = WIRE_ERR_FORM;
+		outer.error = WIRE_ERR_MALFORMED;
 	else {
 		r = reader_of(&unpacked.data);
 		body(&r, out);
-		wire_finish(&outer, &r);
+		wire_end_array(&outer, &r);
 	}
 	msgpack_unpacked_destroy(&unpacked);
 	return refuse(outer.error);
--- a/tests/test_jsonfield.cc
+++ b/tests/test_jsonfield.cc
@@ -10,7 +10,7 @@
 Whole(const char *text, int64_t *value)
 {
 	json_t *field = json_loads(text, JSON_DECODE_ANY, nullptr);
-	bool ok = json_whole(field, 0, 1000, value);
+	bool ok = json_to_int64(field, 0, 1000, value);
 
 	json_decref(field);
 	return ok;
@@ -45,9 +45,9 @@
 	json_t *text = json_string("x");
 	int64_t value = -1;
 
-	EXPECT_TRUE(json_whole_or(nullptr, 0, 10, 5, &value));
+	EXPECT_TRUE(json_to_int64_or(nullptr, 0, 10, 5, &value));
 	EXPECT_EQ(value, 5);
-	EXPECT_FALSE(json_whole_or(text, 0, 10, 5, &value));
+	EXPECT_FALSE(json_to_int64_or(text, 0, 10, 5, &value));
 	json_decref(text);
 }
 
@@ -57,11 +57,11 @@
 	json_t *cut = json_stringn("a\0b", 3);
 	char buf[4], small[3];
 
-	EXPECT_FALSE(json_name(empty, buf, sizeof(buf)));
-	EXPECT_FALSE(json_name(nullptr, buf, sizeof(buf)));
-	EXPECT_FALSE(json_name(three, small, sizeof(small)));
-	EXPECT_FALSE(json_name(cut, buf, sizeof(buf)));
-	ASSERT_TRUE(json_name(three, buf, sizeof(buf)));
+	EXPECT_FALSE(json_to_string(empty, buf, sizeof(buf)));
+	EXPECT_FALSE(json_to_string(nullptr, buf, sizeof(buf)));
+	EXPECT_FALSE(json_to_string(three, small, sizeof(small)));
+	EXPECT_FALSE(json_to_string(cut, buf, sizeof(buf)));
+	ASSERT_TRUE(json_to_string(three, buf, sizeof(buf)));
 	EXPECT_STREQ(buf, "abc");
 	json_decref(empty);
 	json_decref(three);
--- a/tests/test_wire.cc
+++ b/tests/test_wire.cc
@@ -91,7 +91,7 @@
 	uint64_t before = Refused("cut");
 
 	for (size_t len = 0; len < s.size(); len++)
-		EXPECT_EQ(WIRE_ERR_CUT, Decode(s.substr(0, len))) << len;
+		EXPECT_EQ(WIRE_ERR_TRUNCATED, Decode(s.substr(0, len))) << len;
 	EXPECT_EQ(before + s.size(), Refused("cut"));
 }
 
@@ -104,9 +104,9 @@
 	type[2] = WIRE_TYPE_END;
 	EXPECT_EQ(WIRE_ERR_VERSION, Decode(version));
 	EXPECT_EQ(WIRE_ERR_TYPE, Decode(type));
-	EXPECT_EQ(WIRE_ERR_FORM, Decode(good + "x"));
-	EXPECT_EQ(WIRE_ERR_FORM, Decode("\x01"));
-	EXPECT_EQ(WIRE_ERR_FORM, Decode("\xc1"));
+	EXPECT_EQ(WIRE_ERR_MALFORMED, Decode(good + "x"));
+	EXPECT_EQ(WIRE_ERR_MALFORMED, Decode("\x01"));
+	EXPECT_EQ(WIRE_ERR_MALFORMED, Decode("\xc1"));
 	EXPECT_EQ(
 	    WIRE_ERR_TOO_LARGE, Decode(std::string(WIRE_MESSAGE_MAX + 1, 'x')));
 	EXPECT_NE(WIRE_OK, Decode(deep));
@@ -179,13 +179,13 @@
 	Buffer dead;
 	wire_encode_digest(&dead.b, &d);
 	EXPECT_EQ(
-	    WIRE_ERR_FORM, wire_decode_digest(dead.b.data, dead.b.size, &back));
+	    WIRE_ERR_MALFORMED, wire_decode_digest(dead.b.data, dead.b.size, &back));
 }
 
 TEST(Wire, TransfersAndWantsComeBack)
 {
 	static struct wire_transfers t, back;
-	struct wire_want want = { "custodio", { 3, 4 }, { 5, 6 } }, wback;
+	struct wire_credit_request want = { "custodio", { 3, 4 }, { 5, 6 } }, wback;
 	Buffer out, wanted;
 
 	snprintf(t.service, sizeof(t.service), "custodio");
@@ -200,9 +200,9 @@
 	ASSERT_EQ(
 	    WIRE_OK, wire_decode_transfers(out.b.data, out.b.size, &back));
 	EXPECT_EQ(0, memcmp(&t, &back, sizeof(t)));
-	wire_encode_want(&wanted.b, &want);
+	wire_encode_credit_request(&wanted.b, &want);
 	ASSERT_EQ(
-	    WIRE_OK, wire_decode_want(wanted.b.data, wanted.b.size, &wback));
+	    WIRE_OK, wire_decode_credit_request(wanted.b.data, wanted.b.size, &wback));
 	EXPECT_STREQ("custodio", wback.service);
 	EXPECT_EQ(3, wback.amount.slots);
 	EXPECT_EQ(6, wback.load.needed);
@@ -214,7 +214,7 @@
 	    wire_decode_transfers(
 		(s + group).data(), s.size() + group.size(), &back));
 	s = "\xc0";
-	EXPECT_EQ(WIRE_ERR_FORM, wire_decode_want(s.data(), s.size(), &wback));
+	EXPECT_EQ(WIRE_ERR_MALFORMED, wire_decode_credit_request(s.data(), s.size(), &wback));
 }
 
 TEST(Wire, ConfigurationComesBackAndEveryCutIsRefused)
