--- a/entry/lead_record.c
+++ b/entry/lead_record.c
@@ -121,7 +121,8 @@
 	if (json_array_size(row) > 3 &&
 	    json_to_int64(json_array_get(row, 2), 0, INT64_MAX - 1, &term) &&
 	    (uint64_t)term + 1 >= l->sched->opt.term &&
-	    json_to_int64_or(json_array_get(row, 4), 0, INT32_MAX, 0, &left_ms) &&
+	    json_to_int64_or(
+		json_array_get(row, 4), 0, INT32_MAX, 0, &left_ms) &&
 	    load_tasks(json_array_get(row, 3), &from, &tasks)) {
 		from.record =
 		    json_array_size(row) > 4 ? RECORD_EXPIRING : RECORD_CLOSED;
--- a/lagoonpind/borrow.c
+++ b/lagoonpind/borrow.c
@@ -16,10 +16,12 @@
     struct lend *, const char *, enum credit_kind);
 static int waiting_calls(struct lend *, const char *, int64_t);
 static struct lending_load own_load(struct entry *, const char *, int64_t);
-static int offer_of(const struct member *, const struct wire_credit_request *, int64_t);
+static int offer_of(
+    const struct member *, const struct wire_credit_request *, int64_t);
 static const struct member *best_peer(
     struct entry *, const struct wire_credit_request *, int64_t);
-static bool send_want(struct entry *, const char *, const struct wire_credit_request *);
+static bool send_want(
+    struct entry *, const char *, const struct wire_credit_request *);
 static bool request_credits(struct entry *, struct lend_demand *, int64_t);
 static struct credit_amount offer_for(
     struct entry *, const struct wire_credit_request *, int64_t);
@@ -94,8 +96,8 @@
 
 /* Estimates a peer's offer from the load it last reported. */
 static int
-offer_of(
-    const struct member *member, const struct wire_credit_request *want, int64_t now_ms)
+offer_of(const struct member *member, const struct wire_credit_request *want,
+    int64_t now_ms)
 {
 	struct lending_load load;
 
@@ -112,7 +114,8 @@
  * is more than twice theirs.
  */
 static const struct member *
-best_peer(struct entry *e, const struct wire_credit_request *want, int64_t now_ms)
+best_peer(
+    struct entry *e, const struct wire_credit_request *want, int64_t now_ms)
 {
 	const struct member *best[2] = { NULL, NULL }, *member;
 	int near, offer, offers[2] = { 0, 0 }, equals[2] = { 0, 0 };
@@ -143,14 +146,16 @@
 }
 
 static bool
-send_want(struct entry *e, const char *peer, const struct wire_credit_request *want)
+send_want(
+    struct entry *e, const char *peer, const struct wire_credit_request *want)
 {
 	msgpack_sbuffer payload;
 	bool sent;
 
 	msgpack_sbuffer_init(&payload);
 	wire_encode_credit_request(&payload, want);
-	sent = mesh_send(e, peer, WIRE_CREDIT_REQUEST, payload.data, payload.size);
+	sent =
+	    mesh_send(e, peer, WIRE_CREDIT_REQUEST, payload.data, payload.size);
 	msgpack_sbuffer_destroy(&payload);
 	counter_inc_reason("lagoonpin_lend_wants", sent ? "sent" : "not_sent");
 	return sent;
@@ -256,7 +261,8 @@
 
 /* The amount to grant to a peer from the spare credits. */
 static struct credit_amount
-offer_for(struct entry *e, const struct wire_credit_request *want, int64_t now_ms)
+offer_for(
+    struct entry *e, const struct wire_credit_request *want, int64_t now_ms)
 {
 	struct credit_amount amount;
 	struct lending_load load;
--- a/lagoonpind/call_hedge.c
+++ b/lagoonpind/call_hedge.c
@@ -64,7 +64,8 @@
 		return;
 	}
 	verdict = budget_take(&c->service->budget, BUDGET_HEDGE, true, now_ms);
-	counter_inc_reason("lagoonpin_call_hedges", budget_verdict_name(verdict));
+	counter_inc_reason(
+	    "lagoonpin_call_hedges", budget_verdict_name(verdict));
 	if (verdict != BUDGET_GRANTED)
 		return;
 	c->avoid = LIST_FIRST(&c->attempts)->endpoint;
--- a/lagoonpind/change.c
+++ b/lagoonpind/change.c
@@ -295,7 +295,8 @@
 		refuse_store(c, r->error);
 		return;
 	}
-	counter_inc_reason("lagoonpin_operator_retries", store_strerror(r->error));
+	counter_inc_reason(
+	    "lagoonpin_operator_retries", store_strerror(r->error));
 	c->retry_at_ms = clock_now_ms() + RETRY_MS;
 }
 
--- a/lagoonpind/main.c
+++ b/lagoonpind/main.c
@@ -219,7 +219,8 @@
 		if (now_ms - e->drain_since_ms < e->opt.drain_ms)
 			return;
 		log_warn("drain_timeout", "part=%s", modules[i]->name);
-		counter_inc_reason("lagoonpin_drain_timeouts", modules[i]->name);
+		counter_inc_reason(
+		    "lagoonpin_drain_timeouts", modules[i]->name);
 	}
 	log_info(
 	    "drained", "took_ms=%lld", (long long)(now_ms - e->drain_since_ms));
--- a/lagoonpind/operators.c
+++ b/lagoonpind/operators.c
@@ -352,7 +352,8 @@
 	if (!query_number(
 		httpd_query(r), "revision", &change.expected_revision) ||
 	    change.expected_revision == 0) {
-		counter_inc_reason("lagoonpin_operator_refused", "missing_field");
+		counter_inc_reason(
+		    "lagoonpin_operator_refused", "missing_field");
 		reply_error(r, 400, "missing_field", "revision",
 		    "add ?revision=N with the record's current revision");
 		return;
--- a/lagoonpind/registry.c
+++ b/lagoonpind/registry.c
@@ -344,7 +344,8 @@
 	}
 	member_registry_update(mesh->members, &record, listen, clock_now_ms());
 	if (peer_connect(mesh->peer, record.id, record.address) != PEER_OK)
-		counter_inc_reason("lagoonpin_registry_failures", "bad_address");
+		counter_inc_reason(
+		    "lagoonpin_registry_failures", "bad_address");
 }
 
 /*
--- a/lagoonpind/task_bind.c
+++ b/lagoonpind/task_bind.c
@@ -258,7 +258,8 @@
 		return NULL;
 	}
 	w = pick_ahead(&view, s->batch, &task, &options, now_ms);
-	counter_inc_reason(w == NULL ? "lagoonpin_bind_waits" : "lagoonpin_binds",
+	counter_inc_reason(
+	    w == NULL ? "lagoonpin_bind_waits" : "lagoonpin_binds",
 	    w == NULL ? "no_room" : "ahead");
 	return w;
 }
--- a/lagoonpind/task_evict.c
+++ b/lagoonpind/task_evict.c
@@ -273,7 +273,8 @@
 		    conf_policy(entry_conf(s->batch->entry))->hold_off_ms;
 		if (bw->evicted_ms != 0 &&
 		    now_ms - bw->evicted_ms < hold_off_ms) {
-			counter_inc_reason("lagoonpin_protect_waits", "hold_off");
+			counter_inc_reason(
+			    "lagoonpin_protect_waits", "hold_off");
 			return;
 		}
 		bw->evicted_ms = now_ms;
--- a/lagoonpind/task_own.c
+++ b/lagoonpind/task_own.c
@@ -312,7 +312,8 @@
 	    (unsigned long long)s->ledger->epoch,
 	    doc->head.owner[0] == '\0' ? "-" : doc->head.owner,
 	    shard_verdict_name(verdict), doc->ntasks);
-	counter_inc_reason("lagoonpin_shard_takes", shard_verdict_name(verdict));
+	counter_inc_reason(
+	    "lagoonpin_shard_takes", shard_verdict_name(verdict));
 	batch_step(s, now_ms);
 }
 
--- a/lagoonpind/task_write.c
+++ b/lagoonpind/task_write.c
@@ -250,7 +250,8 @@
 	s = p->shard;
 	ours = p->write == s->writes && s->ledger != NULL;
 	free(p);
-	counter_inc_reason("lagoonpin_ledger_writes", outcomes[result->outcome]);
+	counter_inc_reason(
+	    "lagoonpin_ledger_writes", outcomes[result->outcome]);
 	if (!ours || s->batch->entry->phase == ENTRY_CLOSING)
 		return;
 	now_ms = clock_now_ms();
--- a/lib/commit.c
+++ b/lib/commit.c
@@ -419,8 +419,8 @@
 		return;
 	}
 	memset(&result, 0, sizeof(result));
-	if (kv != NULL && item->outcome_unknown && kv->mod_revision != item->expected &&
-	    kv->len == item->len &&
+	if (kv != NULL && item->outcome_unknown &&
+	    kv->mod_revision != item->expected && kv->len == item->len &&
 	    memcmp(kv->value, item->value, item->len) == 0) {
 		written(c, key, kv->mod_revision);
 		return;
--- a/lib/commit_int.h
+++ b/lib/commit_int.h
@@ -16,8 +16,10 @@
 	int64_t lease;
 	struct store_op *also;
 	size_t nalso;
-	bool outcome_unknown; /* an answer was lost: it may be or yet come there */
-	bool exclusive; /* shares no transaction: one that it was in was refused */
+	bool outcome_unknown; /* an answer was lost: it may be or yet come there
+			       */
+	bool exclusive; /* shares no transaction: one that it was in was refused
+			 */
 	enum store_error refusal; /* why, while it is in doubt */
 	commit_done *done;
 	void *ctx;
--- a/lib/httpd.h
+++ b/lib/httpd.h
@@ -72,7 +72,8 @@
 const char *httpd_request_header(struct httpd_request *, const char *name);
 
 /* Be told when the caller goes away. */
-void httpd_on_disconnect(struct httpd_request *, httpd_disconnected *, void *ctx);
+void httpd_on_disconnect(
+    struct httpd_request *, httpd_disconnected *, void *ctx);
 
 /* Answer whole; body and headers are copied.  The request is used up. */
 void httpd_reply(struct httpd_request *, int status,
--- a/lib/httpd_request.c
+++ b/lib/httpd_request.c
@@ -150,7 +150,8 @@
 }
 
 void
-httpd_on_disconnect(struct httpd_request *r, httpd_disconnected *on_gone, void *ctx)
+httpd_on_disconnect(
+    struct httpd_request *r, httpd_disconnected *on_gone, void *ctx)
 {
 	r->on_gone = on_gone;
 	r->gone_ctx = ctx;
--- a/lib/jsonfield.c
+++ b/lib/jsonfield.c
@@ -33,8 +33,8 @@
 }
 
 bool
-json_to_int64_or(const json_t *field, int64_t min, int64_t max, int64_t fallback,
-    int64_t *value)
+json_to_int64_or(const json_t *field, int64_t min, int64_t max,
+    int64_t fallback, int64_t *value)
 {
 	*value = fallback;
 	return field == NULL || json_to_int64(field, min, max, value);
--- a/lib/peer.c
+++ b/lib/peer.c
@@ -211,7 +211,8 @@
 		}
 		/* One part only: anything else isn't from an entry. */
 		if (zmq_msg_more(&message))
-			counter_inc_reason("lagoonpin_peer_refused", "multipart");
+			counter_inc_reason(
+			    "lagoonpin_peer_refused", "multipart");
 		else
 			p->options.on_message(zmq_msg_data(&message),
 			    zmq_msg_size(&message), p->options.ctx);
@@ -345,7 +346,8 @@
 		return PEER_ERR_UNKNOWN;
 	}
 	if (zmq_send(link->socket, data, len, ZMQ_DONTWAIT) == -1) {
-		counter_inc_reason("lagoonpin_peer_dropped", "peer_away_or_full");
+		counter_inc_reason(
+		    "lagoonpin_peer_dropped", "peer_away_or_full");
 		return PEER_ERR_BUSY;
 	}
 	return PEER_OK;
--- a/lib/schema.h
+++ b/lib/schema.h
@@ -33,7 +33,8 @@
 const struct schema *schema_find(enum record_kind, int64_t version);
 
 /* Whether the schema has this field; group is NULL at the top. */
-bool schema_has_field(const struct schema *, const char *group, const char *name);
+bool schema_has_field(
+    const struct schema *, const char *group, const char *name);
 bool schema_has_group(const struct schema *, const char *name);
 
 /* Whether a field of the schema stands at this offset of struct record. */
--- a/lib/store_call.c
+++ b/lib/store_call.c
@@ -216,7 +216,8 @@
 		return;
 	}
 	/* A refused keepalive would cost the entry its registration. */
-	if (!store_consume_budget(s, now_ms, call->kind == CALL_LEASE_KEEPALIVE)) {
+	if (!store_consume_budget(
+		s, now_ms, call->kind == CALL_LEASE_KEEPALIVE)) {
 		if (call->tries == 0 || !try_again(call, "budget"))
 			give_up(call, STORE_ERR_BUDGET);
 		return;
@@ -397,7 +398,8 @@
 {
 	TAILQ_REMOVE(&call->store->waiting, call, link);
 	if (error != STORE_OK)
-		counter_inc_reason("lagoonpin_store_errors", store_strerror(error));
+		counter_inc_reason(
+		    "lagoonpin_store_errors", store_strerror(error));
 	switch (call->kind) {
 	case CALL_RANGE:
 		result->range.error = error;
--- a/lib/wire.c
+++ b/lib/wire.c
@@ -350,7 +350,8 @@
 }
 
 enum wire_error
-wire_encode_credit_request(struct msgpack_sbuffer *out, const struct wire_credit_request *want)
+wire_encode_credit_request(
+    struct msgpack_sbuffer *out, const struct wire_credit_request *want)
 {
 	msgpack_packer pk;
 
@@ -375,7 +376,8 @@
 }
 
 enum wire_error
-wire_decode_credit_request(const void *data, size_t len, struct wire_credit_request *want)
+wire_decode_credit_request(
+    const void *data, size_t len, struct wire_credit_request *want)
 {
 	return wire_decode_body(data, len, read_want, want);
 }
--- a/lib/wire.h
+++ b/lib/wire.h
@@ -28,7 +28,8 @@
 	WIRE_ABANDONED, /* struct wire_transfers: lost at the borrower */
 	WIRE_CREDIT_REQUEST, /* struct wire_credit_request */
 	WIRE_CONFIG, /* wireconf.h */
-	WIRE_HOLDING_REPORT, /* struct wire_transfers without workers: a statement */
+	WIRE_HOLDING_REPORT, /* struct wire_transfers without workers: a
+				statement */
 	WIRE_TYPE_END
 };
 
@@ -39,7 +40,8 @@
 	WIRE_ERR_TYPE, /* an unknown message type */
 	WIRE_ERR_TRUNCATED, /* ends too early */
 	WIRE_ERR_TOO_LARGE, /* over WIRE_MESSAGE_MAX, or too many items */
-	WIRE_ERR_MALFORMED /* wrong kind of value, out of range, trailing bytes */
+	WIRE_ERR_MALFORMED /* wrong kind of value, out of range, trailing bytes
+			    */
 };
 
 struct wire_header {
@@ -81,7 +83,8 @@
     const void *, size_t len, struct wire_transfers *);
 enum wire_error wire_encode_credit_request(
     struct msgpack_sbuffer *out, const struct wire_credit_request *);
-enum wire_error wire_decode_credit_request(const void *, size_t len, struct wire_credit_request *);
+enum wire_error wire_decode_credit_request(
+    const void *, size_t len, struct wire_credit_request *);
 
 /* Count a refusal of the peer protocol. */
 void wire_refused(const char *reason);
--- a/tests/test_wire.cc
+++ b/tests/test_wire.cc
@@ -178,14 +178,15 @@
 	d.records[1].state = MEMBER_DEAD;
 	Buffer dead;
 	wire_encode_digest(&dead.b, &d);
-	EXPECT_EQ(
-	    WIRE_ERR_MALFORMED, wire_decode_digest(dead.b.data, dead.b.size, &back));
+	EXPECT_EQ(WIRE_ERR_MALFORMED,
+	    wire_decode_digest(dead.b.data, dead.b.size, &back));
 }
 
 TEST(Wire, TransfersAndWantsComeBack)
 {
 	static struct wire_transfers t, back;
-	struct wire_credit_request want = { "custodio", { 3, 4 }, { 5, 6 } }, wback;
+	struct wire_credit_request want = { "custodio", { 3, 4 }, { 5, 6 } },
+				   wback;
 	Buffer out, wanted;
 
 	snprintf(t.service, sizeof(t.service), "custodio");
@@ -201,8 +202,8 @@
 	    WIRE_OK, wire_decode_transfers(out.b.data, out.b.size, &back));
 	EXPECT_EQ(0, memcmp(&t, &back, sizeof(t)));
 	wire_encode_credit_request(&wanted.b, &want);
-	ASSERT_EQ(
-	    WIRE_OK, wire_decode_credit_request(wanted.b.data, wanted.b.size, &wback));
+	ASSERT_EQ(WIRE_OK,
+	    wire_decode_credit_request(wanted.b.data, wanted.b.size, &wback));
 	EXPECT_STREQ("custodio", wback.service);
 	EXPECT_EQ(3, wback.amount.slots);
 	EXPECT_EQ(6, wback.load.needed);
@@ -214,7 +215,8 @@
 	    wire_decode_transfers(
 		(s + group).data(), s.size() + group.size(), &back));
 	s = "\xc0";
-	EXPECT_EQ(WIRE_ERR_MALFORMED, wire_decode_credit_request(s.data(), s.size(), &wback));
+	EXPECT_EQ(WIRE_ERR_MALFORMED,
+	    wire_decode_credit_request(s.data(), s.size(), &wback));
 }
 
 TEST(Wire, ConfigurationComesBackAndEveryCutIsRefused)
