--- a/tests/test_commit.cc
+++ b/tests/test_commit.cc
@@ -60,7 +60,7 @@
 		struct commit_options o = {};
 
 		o.commit_ms = COMMIT_MS;
-		o.settle_ms = 10;
+		o.read_back_ms = 10;
 		o.read_back_max_ms = 40;
 		o.max_ops = 4;
 		o.send = send;
