--- a/lagoonpind/batch.c
+++ b/lagoonpind/batch.c
@@ -9,10 +9,10 @@
 #include "counter.h"
 #include "log.h"
 
-#define SETTLE_FACTOR 2 /* silences a new home must last before a move */
-#define RETIRE_FIRST_MS 60000 /* peers are known by then */
-#define RAISE_MS 10000 /* shortest life of an epoch raised for credits */
-#define RANDOM_STEP 0x9e3779b97f4a7c15ULL
+#define SETTLE_FACTOR 2 /* silences that a home lasts before a move */
+#define RETIRE_FIRST_MS 60000 /* by then the peers are known */
+#define EPOCH_MIN_AGE_MS 10000 /* before lost credits raise it */
+#define SPLITMIX64_STEP 0x9e3779b97f4a7c15ULL
 
 static int batch_open(struct entry *);
 static void batch_tick(struct entry *, int64_t);
@@ -22,9 +22,9 @@
 static bool batch_drained(const struct entry *);
 static void batch_close(struct entry *);
 static void on_credits_lost(struct entry *, const char *, int, void *);
-static void note_owned(struct batch_shard *);
+static void announce_owned(struct batch_shard *);
 static void free_workers(struct batch *);
-static void note_gauges(struct batch *);
+static void set_gauges(struct batch *);
 
 const struct module batch_module = {
 	.name = "batch",
@@ -84,13 +84,13 @@
 	return 0;
 }
 
-/* splitmix64: seeded, so that a run can be repeated. */
+/* splitmix64, seeded by a setting so that a run can be reproduced. */
 uint64_t
 batch_random(struct batch *b)
 {
 	uint64_t z;
 
-	b->random += RANDOM_STEP;
+	b->random += SPLITMIX64_STEP;
 	z = b->random;
 	z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9ULL;
 	z = (z ^ (z >> 27)) * 0x94d049bb133111ebULL;
@@ -200,7 +200,7 @@
 }
 
 static void
-note_owned(struct batch_shard *s)
+announce_owned(struct batch_shard *s)
 {
 	s->announced = true;
 	log_info("shard_owned", "shard=%s epoch=%llu tasks=%zu", s->name,
@@ -222,13 +222,13 @@
 	if (!s->lost)
 		ledger_step(s->ledger, now_ms);
 	if (!s->announced && s->ledger->phase == LEDGER_OWNED)
-		note_owned(s);
+		announce_owned(s);
 	if (s->lost)
 		own_close(s, now_ms);
 }
 
 static void
-note_gauges(struct batch *b)
+set_gauges(struct batch *b)
 {
 	struct batch_shard *s;
 	uint64_t owned, tasks;
@@ -261,7 +261,7 @@
 		batch_step(s, now_ms);
 	}
 	retire_tick(b, now_ms);
-	note_gauges(b);
+	set_gauges(b);
 }
 
 static bool
@@ -325,7 +325,7 @@
 
 	if ((b = e->batch) == NULL)
 		return;
-	/* Its callbacks still need the shards. */
+	/* Close it first: its callbacks use the shards. */
 	if (b->commit != NULL)
 		commit_loop_close(b->commit);
 	while ((s = TAILQ_FIRST(&b->shards)) != NULL) {
@@ -336,7 +336,7 @@
 		inbox_clear(s);
 		free(s);
 	}
-	/* The store's callbacks free the rest, with no request to answer. */
+	/* Detach the requests; the store's callbacks free them later. */
 	while (!LIST_EMPTY(&b->requests))
 		request_end(LIST_FIRST(&b->requests));
 	record_close(b);
@@ -368,8 +368,8 @@
 }
 
 /*
- * Credits that died with an entry come back only with a next epoch: give the
- * shard up and take it again at once.  Its tasks run on meanwhile.
+ * Credits lost with an entry are issued again only at a higher epoch: give up
+ * the shard and reacquire it at once.  Its tasks keep running.
  */
 static void
 on_credits_lost(struct entry *e, const char *shard, int slots, void *ctx)
@@ -383,7 +383,7 @@
 	    s->ledger->phase != LEDGER_OWNED || s->ledger->doubt)
 		return;
 	now_ms = clock_now_ms();
-	if (now_ms - s->ledger->taken_ms < RAISE_MS)
+	if (now_ms - s->ledger->taken_ms < EPOCH_MIN_AGE_MS)
 		return;
 	counter_inc_reason("lagoonpin_epoch_raises", "credits_lost");
 	log_info("epoch_raise", "shard=%s epoch=%llu slots=%d", shard,
--- a/lagoonpind/batch.h
+++ b/lagoonpind/batch.h
@@ -18,30 +18,29 @@
 #include "shard.h"
 
 /*
- * The batch side of the daemon.  A task passes through the files in this
+ * The batch module of the daemon.  A task passes through the files in this
  * order: task_accept, task_bind, task_start, task_watch, task_evict,
- * task_finish.  task_own takes and hands over shards, task_write writes
- * ledgers, task_inbox reads what is handed to a shard, task_record keeps job
- * records, task_call speaks with workers, task_job, task_cancel and
- * task_state answer operators.
+ * task_finish.  task_own acquires and hands over shards, task_write writes
+ * ledgers, task_inbox reads the inboxes of shards, task_record caches job
+ * records, task_call sends calls to workers, and task_job, task_cancel and
+ * task_state serve the operators' API.
  */
 
 #define BATCH_KEY_MAX 320 /* bytes of a store key with its NUL */
 #define BATCH_LEDGER_PREFIX "lp/ledger/"
 #define BATCH_INBOX_PREFIX "lp/w/inbox/"
 #define BATCH_JOB_PREFIX "lp/job/"
-#define BATCH_SHARDS_MAX 1024 /* of the deployment */
-#define BATCH_LIVE_MAX 256 /* entries */
-#define BATCH_SERVICES_MAX 4 /* measured services of a worker */
+#define BATCH_SHARDS_MAX 1024 /* in the deployment */
+#define BATCH_LIVE_MAX 256 /* live entries */
+#define BATCH_SERVICES_MAX 4 /* measured services per worker */
 
-/* An inbox item of a shard that we own. */
+/* An inbox item of a shard that this entry owns. */
 struct inbox_entry {
 	TAILQ_ENTRY(inbox_entry) link;
 	char *key;
 	int64_t revision;
-	int64_t accepted_revision; /* the revision that a write of ours takes
-				      over */
-	bool listed; /* in the load being applied */
+	int64_t accepted_revision; /* revision accepted into the ledger */
+	bool listed; /* present in the listing being applied */
 	struct inbox_item item;
 };
 TAILQ_HEAD(inbox_entries, inbox_entry);
@@ -53,24 +52,24 @@
 	TAILQ_ENTRY(batch_shard) link;
 	struct batch *batch;
 	char name[LEDGER_SHARD_MAX];
-	struct ledger *ledger; /* NULL: not ours */
-	bool announced; /* peers know that it is ours */
+	struct ledger *ledger; /* NULL: not owned by this entry */
+	bool announced; /* ownership is announced to the peers */
 	bool lost; /* the ledger is to be closed */
 	enum ledger_lost lost_reason;
-	bool reading; /* the record, to see whether to take it */
+	bool reading; /* a read of the record is in flight */
 	int64_t next_try_ms;
 	int64_t found_ms; /* first seen without an owner, for logs; 0: owned */
-	uint64_t min_epoch; /* a worker has seen this one */
+	uint64_t min_epoch; /* highest epoch that a worker has seen */
 	struct shard_home_watch home;
 	enum inbox_phase inbox;
-	int64_t inbox_revision; /* of the read that followed the takeover */
+	int64_t inbox_revision; /* of the read after the takeover */
 	struct inbox_entries items;
 	int64_t write_sent_ms;
-	uint64_t writes; /* started; tells answers of an older ledger apart */
+	uint64_t writes; /* number of the last; results of others are ignored */
 };
 TAILQ_HEAD(batch_shards, batch_shard);
 
-/* A throttle that was asked for. */
+/* A throttle that was sent to the worker. */
 struct batch_throttle {
 	TAILQ_ENTRY(batch_throttle) link;
 	char task[LEDGER_TASK_ID_MAX];
@@ -82,38 +81,38 @@
 struct batch_service {
 	char name[FLEET_ID_MAX];
 	struct evict_service state;
-	int64_t calls; /* there, as last reported */
+	int64_t calls; /* on this worker, as last reported */
 };
 
-/* What is learnt of a worker; outlives ownership of its shard. */
+/* Learned state of a worker; kept when ownership of its shard ends. */
 struct batch_worker {
 	SLIST_ENTRY(batch_worker) link;
 	char id[LEDGER_ID_MAX];
 	uint64_t hash;
 	struct bind_worker bind;
-	int64_t work_at_ms; /* when bind.work_ms was last summed up */
+	int64_t work_at_ms; /* when bind.work_ms was last computed */
 	struct learn_worker *learn;
 	struct batch_service services[BATCH_SERVICES_MAX];
 	size_t nservices;
 	struct batch_throttles throttles;
-	int64_t evicted_ms; /* the last eviction for a service there; 0: none */
+	int64_t evicted_ms; /* last eviction to protect a service; 0: none */
 };
 SLIST_HEAD(batch_worker_list, batch_worker);
 
 enum record_phase { RECORD_LOADING, RECORD_READY, RECORD_MISSING };
 
-/* A job's record as this entry keeps it. */
+/* A cached job record. */
 struct batch_job {
 	SLIST_ENTRY(batch_job) link;
 	char id[LEDGER_ID_MAX];
 	uint64_t hash;
 	enum record_phase phase;
 	bool cancelled;
-	bool queued; /* waits for the next read */
+	bool queued; /* for the next read */
 	int64_t used_ms;
 	int64_t retry_ms;
-	struct job job; /* when ready */
-	int kind; /* of core/learn */
+	struct job job; /* valid when RECORD_READY */
+	int kind; /* kind of task in core/learn */
 	struct learn_job learn;
 	struct health_job health;
 };
@@ -136,38 +135,41 @@
 	struct batch_job_list jobs[BATCH_JOB_BUCKETS];
 	bool records_reading;
 	int64_t last_sweep_ms;
-	int64_t next_retire_ms; /* next round */
+	int64_t next_retire_ms;
 	struct worker_calls calls;
-	struct pending_requests requests; /* of operators, on their way */
+	struct pending_requests requests;
 	struct learn *learn;
 	struct ledger_actions actions;
 	struct shard_options shard_options;
 	uint64_t random; /* state of the generator */
-	uint64_t nonce; /* part of inbox items' names */
+	uint64_t nonce; /* part of the names of inbox items */
 };
 
 /* batch.c */
 struct batch_shard *batch_shard_find(struct batch *, const char *name);
-/* Made on first use; NULL: no memory. */
+/* Creates the shard on first use; NULL: out of memory. */
 struct batch_shard *batch_shard_get(struct batch *, const char *name);
-/* Send what is due and close what was lost; after every event. */
+/*
+ * Send what is due, and close the ledger if ownership was lost.  Call it after
+ * every event.
+ */
 void batch_step(struct batch_shard *, int64_t now_ms);
 struct batch_worker *batch_worker_get(struct batch *, const char *id);
 uint64_t batch_worker_hash(const char *id);
 uint64_t batch_random(struct batch *);
-/* Note the VM in the ledger. */
+/* Update the ledger's worker from the VM. */
 void batch_worker_update(struct batch_shard *, struct vm *, int64_t now_ms);
 
 /* task_own.c */
 void own_tick(struct batch_shard *, int64_t now_ms);
 void own_on_lost(struct ledger *, enum ledger_lost, void *ctx);
-/* Close a lost ledger and what goes with it. */
+/* Close the ledger of a lost shard, its calls and its inbox. */
 void own_close(struct batch_shard *, int64_t now_ms);
-/* The live entries' ids, this one included; returns how many. */
+/* Collect the ids of the live entries, including this one. */
 size_t own_live_entries(
     struct batch *, const char **ids, size_t max, int64_t now_ms);
 
-/* task_write.c: the store side of ledger_actions. */
+/* task_write.c: the ledger_actions that use the store. */
 void write_ledger(struct ledger *, void *ctx);
 void read_ledger(struct ledger *, void *ctx);
 
@@ -179,9 +181,9 @@
     const char *shard, const char *item, char *buf, size_t size);
 
 /* task_record.c */
-/* The record, loaded when first asked for; NULL: no memory. */
+/* Get the record; the first use loads it.  NULL: out of memory. */
 struct batch_job *record_get(struct batch *, const char *id, int64_t now_ms);
-/* The record if it is there already. */
+/* Find a cached record, or return NULL. */
 struct batch_job *record_find(struct batch *, const char *id);
 void record_tick(struct batch *, int64_t now_ms);
 void record_close(struct batch *);
@@ -193,24 +195,24 @@
 struct ledger_worker *pick_worker(
     struct ledger *, struct ledger_task *, int64_t now_ms, void *ctx);
 
-/* task_weights.c: scale a decision's own weights by the operators' policy. */
+/* task_weights.c: scale the weights of a decision by the policy. */
 void weights_scale(const struct record_policy *, double *tail,
     double *throughput, double *eviction);
 
 /* task_quota.c */
 enum quota_verdict {
 	QUOTA_OK,
-	QUOTA_FULL, /* the team's share of this shard is used up */
+	QUOTA_FULL, /* the team's share of this shard is exhausted */
 	QUOTA_ELSEWHERE /* the team has no share here */
 };
-/* May the team of this job have so much more bound in the shard? */
+/* Whether the team of this job may bind a task of this size in the shard. */
 enum quota_verdict quota_check(struct batch_shard *, const struct batch_job *,
     const struct resources *size);
-/* The shards in which the team may run tasks; returns how many. */
+/* Collect the shards in which the team may run tasks. */
 size_t quota_shards(
     struct batch *, const char *team, const char **shards, size_t max);
 
-/* task_start.c: the worker side of ledger_actions. */
+/* task_start.c: the ledger_actions that call workers. */
 void start_task(struct ledger *, struct ledger_task *, void *ctx);
 void stop_task(struct ledger *, struct ledger_task *, void *ctx);
 void checkpoint_task(struct ledger *, struct ledger_task *, void *ctx);
@@ -222,18 +224,18 @@
 void renew_worker(struct ledger *, struct ledger_worker *, void *ctx);
 
 /* task_evict.c */
-/* The calls of a service there, announced with each measurement of it. */
+/* Record the calls of a service on a worker, reported by each renewal. */
 void evict_note_calls(struct batch_worker *, const char *name, int64_t calls);
-/* A late measurement of a service arrived. */
+/* Act on a measurement of a service, which arrives with a delay. */
 void evict_on_measurement(struct batch_shard *, struct ledger_worker *,
     const char *name, double p99_ms, int64_t measured_ms, int64_t now_ms);
-/* Make room for urgent tasks, move and give up what can't run here. */
+/* Make room for urgent tasks; move or fail tasks that can't run here. */
 void evict_tick(struct batch_shard *, int64_t now_ms);
-/* The throttles of attempts that are over are forgotten. */
+/* Forget the throttles of a task whose attempt has ended. */
 void evict_forget_throttles(struct batch_worker *, const char *task);
 
 /* task_finish.c */
-/* The attempt as core/learn knows it. */
+/* The key of the attempt in core/learn. */
 uint64_t task_tenant(const char *task, uint32_t attempt);
 /* The attempt no longer runs on the worker. */
 void finish_attempt(struct batch_shard *, const char *worker, const char *task,
@@ -264,53 +266,54 @@
 	char worker[LEDGER_ID_MAX];
 	char task[LEDGER_TASK_ID_MAX];
 	uint32_t attempt;
-	struct httpc_call *http; /* NULL: couldn't be sent, fails on the tick */
+	struct httpc_call *http; /* NULL: not sent, fails on the next tick */
 	enum call_result failure;
 };
 
 /*
- * Send a call for the shard's ledger; the body gets shard and epoch.  Takes
- * the reference of the body.  An answer, or the failure, always follows.
+ * Send a call for the shard's ledger, with shard and epoch added to the body.
+ * Takes over the reference to the body.  The response or the failure is always
+ * reported later, unless call_cancel() ends the call.
  */
 void call_worker(struct batch_shard *, enum worker_call_kind,
     struct ledger_worker *, const char *task, uint32_t attempt,
     struct json_t *body, int64_t timeout_ms);
-/* A call that can't be sent for a reason of ours. */
+/* Fail a call that can't be sent for a reason other than the worker. */
 void call_not_ready(struct batch_shard *, enum worker_call_kind,
     struct ledger_worker *, const char *task, uint32_t attempt);
 void call_tick(struct batch *, int64_t now_ms);
-/* Cut what is on its way for the shard: nothing more is sent in its name. */
+/* Cancel the calls in flight for the shard. */
 void call_cancel(struct batch *, const char *shard);
-/* Hand an answer on; body is the answer's JSON or NULL. */
+/* Process a result; body is the JSON of the response, or NULL. */
 void start_answered(struct batch_shard *, const struct worker_call *,
     enum call_result, struct json_t *body, int64_t now_ms);
 void watch_answered(struct batch_shard *, const struct worker_call *,
     enum call_result, struct json_t *body, int64_t now_ms);
 
 /*
- * What waits for the store, with or without an operator's request.  The
- * store's callback finds batch NULL after batch_close() and only frees.
+ * A store request in flight, with or without an operator's request.  After
+ * batch_close() batch is NULL, and the store's callback only frees memory.
  */
 struct pending_request {
 	LIST_ENTRY(pending_request) link;
 	struct batch *batch;
-	struct httpd_request *http; /* NULL: none, or the operator went away */
+	struct httpd_request *http; /* NULL: none, or the client disconnected */
 };
 void request_begin(
     struct batch *, struct pending_request *, struct httpd_request *);
 void request_end(struct pending_request *);
-/* For httpd_on_disconnect, with the pending_request as ctx. */
+/* Callback for httpd_on_disconnect(); ctx is the pending_request. */
 void request_gone(struct httpd_request *, void *ctx);
 
 /* task_accept.c, task_job.c, task_cancel.c, task_state.c */
 bool accept_http(struct entry *, struct httpd_request *);
 bool job_http(struct entry *, struct httpd_request *);
-/* Cancel one job, or, with id NULL, those that the body names. */
+/* Cancel one job, or the jobs named in the body if id is NULL. */
 void cancel_http(struct entry *, struct httpd_request *, const char *id);
 bool state_http(struct entry *, struct httpd_request *);
 bool state_explain(
     struct entry *, struct httpd_request *, const char *kind, const char *id);
-/* A name of an inbox item that no other entry and no former run uses. */
+/* Make the name of an inbox item, unique across entries and restarts. */
 void batch_item_name(struct batch *, char *buf, size_t size);
 
 #endif /* BATCH_H */
--- a/lagoonpind/task_accept.c
+++ b/lagoonpind/task_accept.c
@@ -10,35 +10,35 @@
 #include "log.h"
 
 /*
- * Accepts jobs.  The record and one inbox item for each shard go into the
- * store in one transaction that fails if the job exists, and only then the
- * operator is told so.  Sending the same job again is harmless: the same
- * record is accepted again, another one under its id is refused.
+ * Accepts jobs.  One transaction writes the job record and an inbox item for
+ * each shard, and fails if the job exists.  The operator gets the response
+ * after it is committed.  Submitting a job is idempotent: the same record is
+ * accepted again, a different record with the same id is refused.
  */
 
-#define SHARDS_MAX 64 /* that one job is spread over at first */
+#define SHARDS_MAX 64 /* initial shards of one job */
 #define TRIES_MAX 3
 #define RETRY_AFTER_S 5
 
 struct accept {
 	struct pending_request request;
 	struct job job;
-	char *text; /* the record in its own schema */
+	char *text; /* the job record as it is stored */
 	size_t nitems;
 	char *keys[SHARDS_MAX];
 	char *items[SHARDS_MAX];
 	int tries;
 };
 
-static bool refuse(
+static bool refuse_job(
     struct httpd_request *, const char *, const char *, const char *);
 static bool fits_fleet(struct entry *, const struct job *, const char **);
 static bool fits_team(struct entry *, const struct job *, const char **);
 static size_t pick_shards(struct batch *, const struct job *, const char **);
-static int make_items(struct batch *, struct accept *);
+static int make_inbox_items(struct batch *, struct accept *);
 static void send_job(struct batch *, struct accept *);
 static void on_sent(const struct store_txn_result *, void *);
-static void answer(struct accept *, int);
+static void finish(struct accept *, int);
 static void accept_free(struct accept *);
 
 bool
@@ -55,39 +55,40 @@
 		return false;
 	if (e->phase != ENTRY_RUNNING) {
 		counter_inc_reason("lagoonpin_jobs_refused", "draining");
-		reply_retry(r, 503, "draining", "this entry is stopping", 1);
+		reply_retry(
+		    r, 503, "draining", "this entry is shutting down", 1);
 		return true;
 	}
 	if (!store_reachable(e->store, clock_now_ms())) {
-		/* Better refused for certain than tried and in doubt. */
+		/* A certain refusal is better than an unknown outcome. */
 		counter_inc_reason("lagoonpin_jobs_refused", "store_away");
 		reply_retry(r, 503, "store_away",
-		    "not accepted: the key-value service doesn't answer",
+		    "not accepted: the key-value store is unavailable",
 		    RETRY_AFTER_S);
 		return true;
 	}
 	if ((a = calloc(1, sizeof(*a))) == NULL)
-		return refuse(r, "out_of_memory", NULL, "out of memory");
+		return refuse_job(r, "out_of_memory", NULL, "out of memory");
 	body = httpd_body(r, &len);
 	error = job_parse(body, len, &a->job, &fault);
 	if (error != JOB_OK) {
 		free(a);
-		return refuse(r, job_strerror(error),
+		return refuse_job(r, job_strerror(error),
 		    fault.field[0] == '\0' ? NULL : fault.field,
-		    "the job record is refused");
+		    "invalid job record");
 	}
 	if (!fits_fleet(e, &a->job, &field)) {
 		accept_free(a);
-		return refuse(r, "larger_than_any_vm", field,
-		    "no VM could ever run a task of this size");
+		return refuse_job(r, "larger_than_any_vm", field,
+		    "a task of this size fits on no VM");
 	}
 	if (!fits_team(e, &a->job, &field)) {
 		accept_free(a);
-		return refuse(r, "over_team_limit", field,
-		    "one task is larger than all that its team may use");
+		return refuse_job(r, "over_team_limit", field,
+		    "one task exceeds the limit of its team");
 	}
 	if ((a->text = job_text(&a->job)) == NULL ||
-	    make_items(e->batch, a) == -1) {
+	    make_inbox_items(e->batch, a) == -1) {
 		accept_free(a);
 		counter_inc_reason("lagoonpin_jobs_refused", "no_workers");
 		reply_retry(r, 503, "no_workers",
@@ -101,7 +102,7 @@
 }
 
 static bool
-refuse(struct httpd_request *r, const char *error, const char *field,
+refuse_job(struct httpd_request *r, const char *error, const char *field,
     const char *message)
 {
 	counter_inc_reason("lagoonpin_jobs_refused", error);
@@ -109,7 +110,10 @@
 	return true;
 }
 
-/* While no VM is known nothing can be said. */
+/*
+ * Whether each resource of the task is within that of the largest worker VM;
+ * true while no worker VM is known.
+ */
 static bool
 fits_fleet(struct entry *e, const struct job *job, const char **field)
 {
@@ -159,8 +163,9 @@
 }
 
 /*
- * The shards that get tasks at first: a random sample of those where the team
- * may run any, as many as there are tasks.  What finds no room moves on.
+ * Picks the shards that get the job's tasks: a random sample of those where
+ * the team may run tasks, at most one per task.  A task that finds no room
+ * there moves to another shard later.
  */
 static size_t
 pick_shards(struct batch *b, const struct job *job, const char **picks)
@@ -183,7 +188,7 @@
 }
 
 static int
-make_items(struct batch *b, struct accept *a)
+make_inbox_items(struct batch *b, struct accept *a)
 {
 	const char *picks[SHARDS_MAX];
 	char name[BATCH_KEY_MAX], key[BATCH_KEY_MAX];
@@ -245,7 +250,7 @@
 	txn.nfailure = 1;
 	a->tries++;
 	if (store_txn(b->entry->store, &txn, on_sent, a) != STORE_OK)
-		answer(a, 503);
+		finish(a, 503);
 }
 
 static void
@@ -260,22 +265,22 @@
 		return;
 	}
 	if (result->error == STORE_ERR_UNKNOWN && a->tries < TRIES_MAX) {
-		/* Create-if-absent: sent again it does no harm. */
+		/* Safe to repeat: it creates the record only if absent. */
 		counter_inc_reason("lagoonpin_job_retries", "lost_answer");
 		send_job(a->request.batch, a);
 		return;
 	}
 	if (result->error == STORE_ERR_UNKNOWN) {
-		answer(a, 504);
+		finish(a, 504);
 	} else if (result->error != STORE_OK) {
-		answer(a, 503);
+		finish(a, 503);
 	} else if (result->succeeded) {
-		answer(a, 202);
+		finish(a, 202);
 	} else {
 		kv = result->nops > 0 && result->ops[0].nkvs > 0 ?
 		    &result->ops[0].kvs[0] :
 		    NULL;
-		answer(a,
+		finish(a,
 		    kv != NULL && kv->len == strlen(a->text) &&
 			    memcmp(kv->value, a->text, kv->len) == 0 ?
 			202 :
@@ -283,9 +288,9 @@
 	}
 }
 
-/* Answers, counts and ends the request. */
+/* Replies with the status, counts it and ends the request. */
 static void
-answer(struct accept *a, int status)
+finish(struct accept *a, int status)
 {
 	struct httpd_request *r;
 
@@ -304,15 +309,16 @@
 		    json_pack("{s:s, s:s, s:I}", "id", a->job.id, "outcome",
 			"accepted", "tasks", (json_int_t)a->job.tasks));
 	else if (r != NULL && status == 409)
-		reply_error(
-		    r, 409, "job_exists", "id", "another job has this id");
+		reply_error(r, 409, "job_exists", "id",
+		    "another job with this id exists");
 	else if (r != NULL && status == 504)
 		reply_retry(r, 504, "unknown",
-		    "the store's answer is lost; send the same job again",
+		    "no response from the store, outcome unknown; submit "
+		    "the same job again",
 		    RETRY_AFTER_S);
 	else if (r != NULL)
 		reply_retry(r, 503, "store_away",
-		    "not accepted: the key-value service doesn't answer",
+		    "not accepted: the key-value store is unavailable",
 		    RETRY_AFTER_S);
 	request_end(&a->request);
 	accept_free(a);
--- a/lagoonpind/task_bind.c
+++ b/lagoonpind/task_bind.c
@@ -3,10 +3,10 @@
 #include "batch.h"
 #include "counter.h"
 
-/* Chooses the worker of a task, by core/bind. */
+/* Chooses a worker for a task with core/bind. */
 
-#define WORKERS_MAX 2048 /* of a shard */
-#define WORK_REFRESH_MS 250 /* summing up the work of a worker is dear */
+#define WORKERS_MAX 2048 /* per shard */
+#define WORK_REFRESH_MS 250 /* summing a worker's tasks is expensive */
 
 struct bind_view {
 	struct ledger *ledger;
@@ -16,22 +16,22 @@
 	size_t n;
 };
 
-static void view_worker(struct bind_view *, struct ledger_worker *);
+static void add_worker(struct bind_view *, struct ledger_worker *);
 static int fits(void *, size_t, const struct resources *);
 static struct ledger_worker *pick_ahead(struct bind_view *, struct batch *,
     const struct bind_task *, const struct bind_options *, int64_t);
-static void count_work(struct batch *, const struct ledger_worker *, int64_t);
-static struct ledger_worker *picked(
+static void update_work(struct batch *, const struct ledger_worker *, int64_t);
+static struct ledger_worker *record_pick(
     struct bind_view *, const struct ledger_task *, struct bind_result);
-static void reserve_for(struct bind_view *, struct batch *,
+static void set_reservation(struct bind_view *, struct batch *,
     struct ledger_task *, const struct batch_job *);
-static void widen(struct resources *, const struct resources *);
-static const char *reason_of(
+static void resources_max(struct resources *, const struct resources *);
+static const char *wait_reason(
     struct bind_view *, const struct ledger_task *, enum bind_reason);
-static void options_of(struct batch *, struct bind_options *);
+static void set_options(struct batch *, struct bind_options *);
 
 static void
-view_worker(struct bind_view *view, struct ledger_worker *w)
+add_worker(struct bind_view *view, struct ledger_worker *w)
 {
 	struct batch_worker *bw;
 	struct bind_worker *b;
@@ -70,8 +70,8 @@
 }
 
 /*
- * A worker for a task that waits there for room: the one that is likely to
- * run out of work first.
+ * Chooses a worker on which the task waits for room: the one that is expected
+ * to run out of work first.
  */
 static struct ledger_worker *
 pick_ahead(struct bind_view *view, struct batch *b,
@@ -91,7 +91,7 @@
 		    w->waiting >= view->ledger->opt.ahead ||
 		    health_state(&view->views[i]->health, now_ms) != HEALTH_OK)
 			continue;
-		count_work(b, w, now_ms);
+		update_work(b, w, now_ms);
 		view->workers[n] = w;
 		view->views[n++] = view->views[i];
 	}
@@ -101,9 +101,12 @@
 	return result.index < 0 ? NULL : view->workers[result.index];
 }
 
-/* Processor-milliseconds / 1000 of what is bound there. */
+/*
+ * Sums the remaining work of the tasks bound to the worker: milliseconds of
+ * run time times CPUs (cpu_millis / 1000).
+ */
 static void
-count_work(struct batch *b, const struct ledger_worker *w, int64_t now_ms)
+update_work(struct batch *b, const struct ledger_worker *w, int64_t now_ms)
 {
 	const struct batch_job *job;
 	const struct ledger_task *t;
@@ -128,11 +131,11 @@
 }
 
 /*
- * Sizes that jobs declare are often far off: reserve what was learnt.  The
- * size goes into the record with the bind, for the next owner.
+ * Reserves the learned size, since declared sizes are often far off.  The bind
+ * writes it to the record, so that the next owner reserves the same.
  */
 static void
-reserve_for(struct bind_view *view, struct batch *b, struct ledger_task *t,
+set_reservation(struct bind_view *view, struct batch *b, struct ledger_task *t,
     const struct batch_job *job)
 {
 	const struct resources *declared;
@@ -142,14 +145,14 @@
 	declared = &job->job.size;
 	largest = *declared;
 	for (i = 0; i < view->n; i++)
-		widen(&largest, &view->workers[i]->room.capacity);
-	/* What is learnt never makes a task too large for where it fits. */
+		resources_max(&largest, &view->workers[i]->room.capacity);
+	/* Cap the learned size: the task must still fit some worker. */
 	learn_reserve(b->learn, &job->learn, job->kind, declared, &largest, 0,
 	    &t->r.size);
 }
 
 static void
-widen(struct resources *r, const struct resources *other)
+resources_max(struct resources *r, const struct resources *other)
 {
 	if (other->cpu_millis > r->cpu_millis)
 		r->cpu_millis = other->cpu_millis;
@@ -160,7 +163,7 @@
 }
 
 static const char *
-reason_of(struct bind_view *view, const struct ledger_task *t,
+wait_reason(struct bind_view *view, const struct ledger_task *t,
     enum bind_reason reason)
 {
 	size_t i;
@@ -178,7 +181,7 @@
 }
 
 static void
-options_of(struct batch *b, struct bind_options *o)
+set_options(struct batch *b, struct bind_options *o)
 {
 	const struct record_policy *policy;
 
@@ -190,7 +193,7 @@
 }
 
 static struct ledger_worker *
-picked(struct bind_view *view, const struct ledger_task *t,
+record_pick(struct bind_view *view, const struct ledger_task *t,
     struct bind_result result)
 {
 	if (result.reason == BIND_PROBE)
@@ -224,10 +227,10 @@
 	view.urgent = t->r.urgent;
 	view.n = 0;
 	TAILQ_FOREACH (w, &l->workers, link)
-		view_worker(&view, w);
-	reserve_for(&view, s->batch, t, job);
+		add_worker(&view, w);
+	set_reservation(&view, s->batch, t, job);
 	task.reserve = t->r.size;
-	/* A task that is bound is within the quota already. */
+	/* A bound task is already counted in the quota. */
 	quota = t->worker != NULL ? QUOTA_OK : quota_check(s, job, &t->r.size);
 	if (quota != QUOTA_OK) {
 		t->reason =
@@ -245,14 +248,14 @@
 	task.run_ms = learn_run_ms(&job->learn, t->r.run_ms);
 	task.job_measured = (int)job->learn.cpu.count;
 	task.accepted_ms = t->waits_since_ms;
-	options_of(s->batch, &options);
+	set_options(s->batch, &options);
 	result = bind_pick(&options, &task, view.views, view.n, fits, NULL,
 	    &view, batch_random(s->batch), now_ms);
 	if (result.index >= 0)
-		return picked(&view, t, result);
+		return record_pick(&view, t, result);
 	if (t->worker != NULL)
 		return NULL;
-	t->reason = reason_of(&view, t, result.reason);
+	t->reason = wait_reason(&view, t, result.reason);
 	if (t->r.urgent || strcmp(t->reason, "no_room") != 0) {
 		counter_inc_reason("lagoonpin_bind_waits", t->reason);
 		return NULL;
--- a/lagoonpind/task_call.c
+++ b/lagoonpind/task_call.c
@@ -9,10 +9,10 @@
 #include "counter.h"
 #include "log.h"
 
-/* Calls to the control API of workers. */
+/* Sends calls to the control API of workers. */
 
 #define CONNECT_TIMEOUT_MS 1000
-#define ANSWER_MAX (4 << 20)
+#define RESPONSE_MAX_BYTES (4 << 20)
 
 static const char *const paths[] = { "fence", "renew", "start", "stop",
 	"checkpoint", "throttle", "stop" };
@@ -22,10 +22,10 @@
 static void call_free(struct worker_call *);
 static bool send_call(struct worker_call *, json_t *, int64_t);
 static void on_done(const struct httpc_result *, void *);
-static enum call_result result_of(
+static enum call_result parse_result(
     const struct httpc_result *, json_t **, uint64_t *);
-static enum call_result refusal_of(const json_t *, uint64_t *);
-static void hand_on(
+static enum call_result parse_refusal(const json_t *, uint64_t *);
+static void dispatch_result(
     struct worker_call *, enum call_result, json_t *, uint64_t, int64_t);
 
 static struct worker_call *
@@ -81,7 +81,7 @@
 	request.body_len = strlen(text);
 	request.connect_timeout_ms = CONNECT_TIMEOUT_MS;
 	request.timeout_ms = timeout_ms;
-	request.body_max = ANSWER_MAX;
+	request.body_max = RESPONSE_MAX_BYTES;
 	request.on_done = on_done;
 	request.ctx = c;
 	c->http = httpc_start(e->worker_http, &request);
@@ -123,7 +123,10 @@
 		c->failure = RESULT_NOT_READY;
 }
 
-/* Calls that couldn't be sent fail here, never within an action. */
+/*
+ * Fails the calls that couldn't be sent.  That is left to the tick because a
+ * ledger action must not report a result itself.
+ */
 void
 call_tick(struct batch *b, int64_t now_ms)
 {
@@ -141,7 +144,7 @@
 	while ((c = TAILQ_FIRST(&failed)) != NULL) {
 		TAILQ_REMOVE(&failed, c, link);
 		TAILQ_INSERT_TAIL(&b->calls, c, link);
-		hand_on(c, c->failure, NULL, 0, now_ms);
+		dispatch_result(c, c->failure, NULL, 0, now_ms);
 	}
 }
 
@@ -151,7 +154,7 @@
 	struct worker_call *c, *next;
 
 	TAILQ_FOREACH (c, &b->calls, link) {
-		/* Marks it: its answer concerns nobody any more. */
+		/* Epoch 0 marks the call, and its result is ignored. */
 		if (strcmp(c->shard, shard) == 0)
 			c->epoch = 0;
 	}
@@ -167,7 +170,7 @@
 }
 
 static enum call_result
-refusal_of(const json_t *body, uint64_t *epoch)
+parse_refusal(const json_t *body, uint64_t *epoch)
 {
 	const char *error;
 
@@ -187,7 +190,7 @@
 }
 
 static enum call_result
-result_of(const struct httpc_result *result, json_t **body, uint64_t *epoch)
+parse_result(const struct httpc_result *result, json_t **body, uint64_t *epoch)
 {
 	*body = NULL;
 	*epoch = 0;
@@ -198,7 +201,7 @@
 	*body = json_loadb(result->body, result->body_len, 0, NULL);
 	if (result->status == 200)
 		return json_is_object(*body) ? RESULT_OK : RESULT_NO_ANSWER;
-	return refusal_of(*body, epoch);
+	return parse_refusal(*body, epoch);
 }
 
 static void
@@ -211,13 +214,13 @@
 
 	c = ctx;
 	c->http = NULL;
-	answer = result_of(result, &body, &epoch);
-	hand_on(c, answer, body, epoch, clock_now_ms());
+	answer = parse_result(result, &body, &epoch);
+	dispatch_result(c, answer, body, epoch, clock_now_ms());
 	json_decref(body);
 }
 
 static void
-hand_on(struct worker_call *c, enum call_result answer, json_t *body,
+dispatch_result(struct worker_call *c, enum call_result answer, json_t *body,
     uint64_t fenced, int64_t now_ms)
 {
 	static const char *const names[] = { "ok", "no_answer", "not_sent",
--- a/lagoonpind/task_cancel.c
+++ b/lagoonpind/task_cancel.c
@@ -9,35 +9,35 @@
 #include "log.h"
 
 /*
- * Cancels jobs: any number at once, named by id or by their team.  The jobs
- * are marked and every shard is told in one transaction for each chunk.
+ * Cancels jobs, by their ids or by their team, in chunks.  One transaction per
+ * chunk marks its jobs as cancelled and writes an inbox item to every shard.
  */
 
 #define CANCEL_MAX 1000 /* jobs in one request */
 #define CANCEL_CHUNK 48 /* jobs in one transaction */
-#define SHARDS_MAX 128 /* whose inboxes are told in one transaction */
+#define SHARDS_MAX 128 /* inbox items in one transaction */
 #define RETRY_AFTER_S 5
 
 struct cancel {
 	struct pending_request request;
-	char team[JOB_NAME_SIZE]; /* whose jobs are looked up, or "" */
+	char team[JOB_NAME_SIZE]; /* cancel all jobs of this team, or "" */
 	char (*ids)[LEDGER_ID_MAX];
 	bool *found;
 	size_t n;
-	size_t at; /* the chunk under way begins here */
-	bool writing; /* its second step */
+	size_t at; /* start of the current chunk */
+	bool writing; /* the chunk's write, after its read */
 };
 
 static bool cancel_body(struct cancel *, struct httpd_request *);
 static bool cancel_ids(struct cancel *, const json_t *);
-static void find_team(struct cancel *);
+static void read_team_jobs(struct cancel *);
 static void on_team(const struct store_range_result *, void *);
-static bool of_team(const struct store_kv *, const char *);
-static size_t chunk_of(const struct cancel *);
+static bool is_of_team(const struct store_kv *, const char *);
+static size_t chunk_size(const struct cancel *);
 static void cancel_read(struct cancel *);
 static void cancel_write(struct cancel *);
 static void on_cancel(const struct store_txn_result *, void *);
-static void cancel_answer(struct cancel *, bool);
+static void cancel_finish(struct cancel *, bool);
 static void cancel_free(struct cancel *);
 
 void
@@ -53,7 +53,7 @@
 		counter_inc_reason("lagoonpin_cancels_refused", "bad_body");
 		cancel_free(c);
 		reply_error(r, 400, "bad_value", "ids",
-		    "up to 1000 job ids, or a team");
+		    "expected up to 1000 job ids or a team");
 		return;
 	}
 	if (id != NULL && (c->ids = calloc(1, sizeof(*c->ids))) != NULL) {
@@ -69,7 +69,7 @@
 	request_begin(e->batch, &c->request, r);
 	httpd_on_disconnect(r, request_gone, &c->request);
 	if (c->team[0] != '\0')
-		find_team(c);
+		read_team_jobs(c);
 	else
 		cancel_read(c);
 }
@@ -114,7 +114,7 @@
 }
 
 static void
-find_team(struct cancel *c)
+read_team_jobs(struct cancel *c)
 {
 	struct store_range_request range = { 0 };
 
@@ -122,11 +122,11 @@
 	range.prefix = true;
 	if (store_range(c->request.batch->entry->store, &range, on_team, c) !=
 	    STORE_OK)
-		cancel_answer(c, false);
+		cancel_finish(c, false);
 }
 
 static bool
-of_team(const struct store_kv *kv, const char *team)
+is_of_team(const struct store_kv *kv, const char *team)
 {
 	struct job_fault fault;
 	struct job job;
@@ -140,7 +140,7 @@
 	return same;
 }
 
-/* Jobs already marked are left out, so that a repeat takes the next ones. */
+/* Skips cancelled jobs, so that a repeated request cancels the next ones. */
 static void
 on_team(const struct store_range_result *result, void *ctx)
 {
@@ -157,7 +157,7 @@
 	for (i = 0; i < result->nkvs && c->n < CANCEL_MAX; i++) {
 		kv = &result->kvs[i];
 		snprintf(marked, sizeof(marked), "%s/cancelled", kv->key);
-		if (!of_team(kv, c->team) ||
+		if (!is_of_team(kv, c->team) ||
 		    (i + 1 < result->nkvs &&
 			strcmp(result->kvs[i + 1].key, marked) == 0))
 			continue;
@@ -165,20 +165,20 @@
 		    LEDGER_ID_MAX);
 	}
 	if (result->error != STORE_OK)
-		cancel_answer(c, false);
+		cancel_finish(c, false);
 	else if (c->n == 0)
-		cancel_answer(c, true);
+		cancel_finish(c, true);
 	else
 		cancel_read(c);
 }
 
 static size_t
-chunk_of(const struct cancel *c)
+chunk_size(const struct cancel *c)
 {
 	return c->n - c->at < CANCEL_CHUNK ? c->n - c->at : CANCEL_CHUNK;
 }
 
-/* First step of a chunk: which of the jobs are there? */
+/* First step of a chunk: read which of the jobs exist. */
 static void
 cancel_read(struct cancel *c)
 {
@@ -187,7 +187,7 @@
 	struct store_txn_request txn = { 0 };
 	size_t i, n;
 
-	n = chunk_of(c);
+	n = chunk_size(c);
 	for (i = 0; i < n; i++) {
 		snprintf(keys[i], BATCH_KEY_MAX, BATCH_JOB_PREFIX "%s",
 		    c->ids[c->at + i]);
@@ -199,13 +199,13 @@
 	c->writing = false;
 	if (store_txn(c->request.batch->entry->store, &txn, on_cancel, c) !=
 	    STORE_OK)
-		cancel_answer(c, false);
+		cancel_finish(c, false);
 }
 
 /*
- * Second step: mark the jobs, for tasks that are on their way between shards,
- * and tell every shard in one transaction, so that a burst of cancellations
- * frees its room in one round.
+ * Second step of a chunk: mark the jobs, which also reaches tasks that are
+ * moving between shards, and write to the inbox of every shard.  It is one
+ * transaction so that a burst of cancellations frees its room in one round.
  */
 static void
 cancel_write(struct cancel *c)
@@ -222,7 +222,7 @@
 
 	b = c->request.batch;
 	n = 0;
-	for (i = c->at; i < c->at + chunk_of(c); i++) {
+	for (i = c->at; i < c->at + chunk_size(c); i++) {
 		if (!c->found[i])
 			continue;
 		strlcpy(ids[n], c->ids[i], LEDGER_ID_MAX);
@@ -255,7 +255,7 @@
 	c->writing = true;
 	if (text == NULL ||
 	    store_txn(b->entry->store, &txn, on_cancel, c) != STORE_OK)
-		cancel_answer(c, false);
+		cancel_finish(c, false);
 	free(text);
 }
 
@@ -271,13 +271,13 @@
 		return;
 	}
 	if (result->error == STORE_ERR_UNKNOWN && c->writing) {
-		/* Marks and items may be written twice. */
+		/* Safe to repeat: marks and items may be written twice. */
 		counter_inc_reason("lagoonpin_cancel_retries", "lost_answer");
 		cancel_write(c);
 		return;
 	}
 	if (result->error != STORE_OK) {
-		cancel_answer(c, false);
+		cancel_finish(c, false);
 		return;
 	}
 	if (!c->writing) {
@@ -286,15 +286,15 @@
 		cancel_write(c);
 		return;
 	}
-	c->at += chunk_of(c);
+	c->at += chunk_size(c);
 	if (c->at < c->n)
 		cancel_read(c);
 	else
-		cancel_answer(c, true);
+		cancel_finish(c, true);
 }
 
 static void
-cancel_answer(struct cancel *c, bool written)
+cancel_finish(struct cancel *c, bool written)
 {
 	struct httpd_request *r;
 	json_t *jobs;
@@ -311,7 +311,8 @@
 	log_info("jobs_cancel", "jobs=%zu written=%d", c->at, (int)written);
 	if (r != NULL && !written)
 		reply_retry(r, 503, "store_away",
-		    "not all are cancelled: the key-value service is away",
+		    "not all jobs were cancelled: the key-value store is "
+		    "unavailable",
 		    RETRY_AFTER_S);
 	else if (r != NULL && c->team[0] == '\0' && c->n == 1 && !c->found[0])
 		reply_error(r, 404, "unknown_job", "id", "no such job");
--- a/lagoonpind/task_evict.c
+++ b/lagoonpind/task_evict.c
@@ -8,13 +8,14 @@
 #include "log.h"
 
 /*
- * Protects services from tasks that disturb them, makes room for urgent
- * tasks, moves tasks that don't fit here and gives up those that never can.
+ * Protects services from tasks that slow them down, makes room for urgent
+ * tasks, moves tasks that wait too long to other shards and fails tasks that
+ * can never run.
  */
 
-#define TASKS_MAX 128 /* of a worker, looked at for a victim */
+#define TASKS_MAX 128 /* candidates on one worker */
 #define THROTTLE_TIMEOUT_MS 4000
-#define URGENT_WAIT_MS 500 /* before it may displace a normal task */
+#define URGENT_WAIT_MS 500 /* before a normal task is displaced */
 #define MOVE_WAIT_MS 10000 /* doubles with each move */
 #define MOVE_SHIFT_MAX 6
 #define MOVES_PER_WRITE 20
@@ -23,21 +24,22 @@
 static size_t view_tasks(struct batch_shard *, struct ledger_worker *,
     struct evict_task *, struct ledger_task **, int64_t);
 static double calls_share(struct ledger *, const struct batch_service *);
-static int percent_of(struct batch_worker *, const char *);
-static void set_percent(struct batch_worker *, const char *, uint32_t, int);
+static int throttle_percent(struct batch_worker *, const char *);
+static void set_throttle(struct batch_worker *, const char *, uint32_t, int);
 static void note_throttle(struct batch_worker *, const char *, uint32_t, int);
-static void carry_out(struct batch_shard *, struct ledger_worker *,
+static void apply_action(struct batch_shard *, struct ledger_worker *,
     struct ledger_task *, const struct evict_result *);
-static void options_of(struct batch_shard *, struct evict_options *);
+static void set_options(struct batch_shard *, struct evict_options *);
 static size_t count_evicting(struct ledger *);
 static void displace_for_urgent(struct batch_shard *, int64_t);
 static void displace(struct batch_shard *, const struct ledger_task *, int64_t);
 static bool frees_enough(
     const struct ledger_task *, const struct ledger_task *);
-static bool larger_than_any(struct batch_shard *, const struct ledger_task *);
-static bool could_hold(const struct fleet_shard *, const struct resources *);
+static bool exceeds_all_vms(struct batch_shard *, const struct ledger_task *);
+static bool has_large_enough_vm(
+    const struct fleet_shard *, const struct resources *);
 static int64_t move_wait_ms(const struct ledger_task *);
-static bool move_on(struct batch_shard *, struct ledger_task *);
+static bool move_to_shard(struct batch_shard *, struct ledger_task *);
 static bool give_up(struct batch_shard *, struct ledger_task *);
 
 static struct batch_service *
@@ -66,7 +68,10 @@
 		service->calls = calls;
 }
 
-/* Its calls there, as a part of the mean of the shard's workers with it. */
+/*
+ * The calls of the service on this worker, relative to their mean over the
+ * shard's workers that run the service; 0: unknown.
+ */
 static double
 calls_share(struct ledger *l, const struct batch_service *service)
 {
@@ -91,7 +96,7 @@
 }
 
 static int
-percent_of(struct batch_worker *w, const char *task)
+throttle_percent(struct batch_worker *w, const char *task)
 {
 	struct batch_throttle *t;
 
@@ -117,7 +122,7 @@
 }
 
 static void
-set_percent(
+set_throttle(
     struct batch_worker *w, const char *task, uint32_t attempt, int percent)
 {
 	struct batch_throttle *t;
@@ -131,7 +136,7 @@
 	TAILQ_INSERT_TAIL(&w->throttles, t, link);
 }
 
-/* What it will use from now on; the next measurement corrects it. */
+/* Estimates the throttled CPU use until the next measurement. */
 static void
 note_throttle(
     struct batch_worker *w, const char *task, uint32_t attempt, int percent)
@@ -140,10 +145,10 @@
 	int64_t cpu_millis;
 
 	tenant = task_tenant(task, attempt);
-	cpu_millis =
-	    learn_tenant_cpu(w->learn, tenant) * percent / percent_of(w, task);
+	cpu_millis = learn_tenant_cpu(w->learn, tenant) * percent /
+	    throttle_percent(w, task);
 	learn_tenant_used(w->learn, tenant, cpu_millis);
-	set_percent(w, task, attempt, percent);
+	set_throttle(w, task, attempt, percent);
 }
 
 static size_t
@@ -176,7 +181,7 @@
 		view->evictions = (int)t->r.evictions;
 		if (job->job.max_evictions > 0)
 			view->max_evictions = (int)job->job.max_evictions;
-		view->percent = percent_of(bw, id);
+		view->percent = throttle_percent(bw, id);
 		view->urgent = t->r.urgent;
 		tasks[n++] = t;
 	}
@@ -184,7 +189,7 @@
 }
 
 static void
-options_of(struct batch_shard *s, struct evict_options *o)
+set_options(struct batch_shard *s, struct evict_options *o)
 {
 	const struct record_policy *policy;
 
@@ -197,8 +202,8 @@
 }
 
 static void
-carry_out(struct batch_shard *s, struct ledger_worker *w, struct ledger_task *t,
-    const struct evict_result *result)
+apply_action(struct batch_shard *s, struct ledger_worker *w,
+    struct ledger_task *t, const struct evict_result *result)
 {
 	char id[LEDGER_TASK_ID_MAX];
 
@@ -249,7 +254,7 @@
 	if ((service = service_get(bw, name)) == NULL ||
 	    !ledger_may_send(s->ledger, now_ms))
 		return;
-	options_of(s, &options);
+	set_options(s, &options);
 	record = conf_service(entry_conf(s->batch->entry), name);
 	service->state.kind = learn_kind(s->batch->learn, name);
 	learn_mark_service(s->batch->learn, service->state.kind);
@@ -268,7 +273,7 @@
 		return;
 	}
 	if (result.action == EVICT_CHECKPOINT || result.action == EVICT_STOP) {
-		/* Waves of load mustn't empty a VM one task after the other. */
+		/* Keep load peaks from evicting all tasks of a VM in turn. */
 		hold_off_ms =
 		    conf_policy(entry_conf(s->batch->entry))->hold_off_ms;
 		if (bw->evicted_ms != 0 &&
@@ -279,10 +284,10 @@
 		}
 		bw->evicted_ms = now_ms;
 	}
-	carry_out(s, w, tasks[result.index], &result);
+	apply_action(s, w, tasks[result.index], &result);
 }
 
-/* Tasks on their way out: each makes room for one that waits. */
+/* Counts the tasks being evicted; each makes room for a waiting task. */
 static size_t
 count_evicting(struct ledger *l)
 {
@@ -298,7 +303,7 @@
 	return n;
 }
 
-/* Would the urgent task fit on that worker if this one left? */
+/* Whether the urgent task would fit on the victim's worker without it. */
 static bool
 frees_enough(const struct ledger_task *urgent, const struct ledger_task *victim)
 {
@@ -310,7 +315,10 @@
 	return room_check(&room, &urgent->r.size) == ROOM_OK;
 }
 
-/* Checkpoint the normal task that loses least and makes enough room. */
+/*
+ * Checkpoints a normal task to make room for the urgent one: of those that
+ * free enough room, the one that started last, as it loses the least work.
+ */
 static void
 displace(
     struct batch_shard *s, const struct ledger_task *urgent, int64_t now_ms)
@@ -319,7 +327,7 @@
 	struct ledger_task *t, *best;
 	struct ledger_worker *w;
 
-	options_of(s, &options);
+	set_options(s, &options);
 	best = NULL;
 	TAILQ_FOREACH (w, &s->ledger->workers, link) {
 		if (!ledger_worker_usable(w))
@@ -374,7 +382,7 @@
 }
 
 static bool
-larger_than_any(struct batch_shard *s, const struct ledger_task *t)
+exceeds_all_vms(struct batch_shard *s, const struct ledger_task *t)
 {
 	struct vm_list *vms;
 	struct vm *v;
@@ -390,9 +398,10 @@
 	return !TAILQ_EMPTY(vms);
 }
 
-/* Does the shard have a live VM that is large enough? */
+/* Whether the shard has a live VM that is large enough. */
 static bool
-could_hold(const struct fleet_shard *rack, const struct resources *size)
+has_large_enough_vm(
+    const struct fleet_shard *rack, const struct resources *size)
 {
 	const struct vm *v;
 
@@ -406,9 +415,9 @@
 	return false;
 }
 
-/* To a shard drawn among those where the team may run it. */
+/* Moves the task to a random other shard where its team may run it. */
 static bool
-move_on(struct batch_shard *s, struct ledger_task *t)
+move_to_shard(struct batch_shard *s, struct ledger_task *t)
 {
 	const char *shards[BATCH_SHARDS_MAX], *chosen;
 	const struct batch_job *job;
@@ -425,7 +434,7 @@
 	for (i = 0; i < n; i++) {
 		rack = fleet_find_shard(s->batch->entry->fleet, shards[i]);
 		if (strcmp(shards[i], s->name) != 0 &&
-		    could_hold(rack, &t->r.size) &&
+		    has_large_enough_vm(rack, &t->r.size) &&
 		    batch_random(s->batch) % ++seen == 0)
 			chosen = shards[i];
 	}
@@ -440,7 +449,7 @@
 	return ledger_move(s->ledger, t, chosen) == LEDGER_OK;
 }
 
-/* How long a task waits here before it is handed to another shard. */
+/* How long a task waits here before it moves to another shard. */
 static int64_t
 move_wait_ms(const struct ledger_task *t)
 {
@@ -461,7 +470,7 @@
 
 	reason = NULL;
 	job = record_find(s->batch, t->r.job);
-	if (strcmp(t->reason, "too_large") == 0 && larger_than_any(s, t))
+	if (strcmp(t->reason, "too_large") == 0 && exceeds_all_vms(s, t))
 		reason = "larger_than_any_vm";
 	if (reason == NULL && job != NULL && job->phase == RECORD_READY) {
 		health_options_default(&options);
@@ -499,7 +508,7 @@
 			continue;
 		waited_ms = now_ms - t->waits_since_ms;
 		if (moves < MOVES_PER_WRITE && waited_ms >= move_wait_ms(t) &&
-		    strcmp(t->reason, "failed") != 0 && move_on(s, t))
+		    strcmp(t->reason, "failed") != 0 && move_to_shard(s, t))
 			moves++;
 	}
 }
--- a/lagoonpind/task_finish.c
+++ b/lagoonpind/task_finish.c
@@ -7,9 +7,9 @@
 #include "counter.h"
 #include "log.h"
 
-/* What follows from the end of an attempt and of a task. */
+/* Logs, counts and learns from the ends of attempts and tasks. */
 
-static void note_health(struct batch *, struct batch_worker *,
+static void update_health(struct batch *, struct batch_worker *,
     struct batch_job *, enum task_outcome, int64_t);
 
 uint64_t
@@ -31,7 +31,7 @@
 }
 
 static void
-note_health(struct batch *b, struct batch_worker *w, struct batch_job *job,
+update_health(struct batch *b, struct batch_worker *w, struct batch_job *job,
     enum task_outcome outcome, int64_t now_ms)
 {
 	struct health_options options;
@@ -72,7 +72,7 @@
 	if (w == NULL)
 		return;
 	if (job != NULL && job->phase == RECORD_READY) {
-		note_health(s->batch, w, job, outcome, now_ms);
+		update_health(s->batch, w, job, outcome, now_ms);
 		if (outcome == OUTCOME_DONE && t->r.run_ms > 0 && took_ms > 0 &&
 		    t->r.evictions == 0)
 			learn_task_time(w->learn, &job->learn,
--- a/lagoonpind/task_inbox.c
+++ b/lagoonpind/task_inbox.c
@@ -8,14 +8,14 @@
 #include "log.h"
 
 /*
- * What is handed to a shard.  An item is read by the shard's owner only, and
- * only after its takeover is in the store: from then on nobody else deletes
- * items, so a read afterwards shows exactly those not taken over yet.  The
- * watch may lag behind that read; what it tells of older revisions is left
- * out, or a task that has long ended would be accepted again.
+ * The inboxes of shards.  Only the owner of a shard reads its inbox, and only
+ * after the store has confirmed the takeover: from then on nobody else deletes
+ * items, so the read returns exactly those that no ledger has accepted.  The
+ * watch may lag behind this read.  Its older revisions are ignored: otherwise
+ * a task that ended long ago would be accepted again.
  */
 
-#define TASKS_OPEN_MAX 2000 /* of a shard; the rest waits in the inbox */
+#define TASKS_OPEN_MAX 2000 /* per shard; more wait in the inbox */
 #define ITEMS_PER_WRITE 24
 
 struct inbox_read {
@@ -28,18 +28,18 @@
 static void on_put(const struct store_kv *, void *);
 static void on_delete(const char *, int64_t, void *);
 static void on_reload_end(int64_t, void *);
-static struct batch_shard *shard_of(struct batch *, const char *);
+static struct batch_shard *shard_from_key(struct batch *, const char *);
 static struct inbox_entry *entry_find(struct batch_shard *, const char *);
 static void entry_put(struct batch_shard *, const struct store_kv *);
 static void entry_free(struct batch_shard *, struct inbox_entry *);
-static void note_cancelled(struct batch *, const struct inbox_item *);
+static void mark_cancelled(struct batch *, const struct inbox_item *);
 static void read_inbox(struct batch_shard *);
 static void on_inbox(const struct store_range_result *, void *);
-static bool take_entry(struct batch_shard *, struct inbox_entry *, int64_t);
-static bool take_job(struct batch_shard *, struct inbox_entry *, int64_t);
-static bool take_task(struct batch_shard *, struct inbox_entry *, int64_t);
-static bool take_cancel(struct batch_shard *, struct inbox_entry *);
-static uint32_t accept_range(
+static bool accept_entry(struct batch_shard *, struct inbox_entry *, int64_t);
+static bool accept_job(struct batch_shard *, struct inbox_entry *, int64_t);
+static bool accept_task(struct batch_shard *, struct inbox_entry *, int64_t);
+static bool accept_cancel(struct batch_shard *, struct inbox_entry *);
+static uint32_t accept_tasks(
     struct batch_shard *, const struct batch_job *, uint32_t, uint32_t);
 
 const char *
@@ -62,7 +62,7 @@
 }
 
 static struct batch_shard *
-shard_of(struct batch *b, const char *key)
+shard_from_key(struct batch *b, const char *key)
 {
 	char name[LEDGER_SHARD_MAX];
 	const char *slash;
@@ -148,13 +148,16 @@
 fail:
 	inbox_item_free(&item);
 	log_error("inbox_item_lost", "key=%s reason=no_memory", kv->key);
-	/* Read again later. */
+	/* Read the whole inbox again later. */
 	s->inbox = INBOX_UNREAD;
 }
 
-/* Every entry hears of cancellations, so that a move can't outrun one. */
+/*
+ * Marks cached jobs as cancelled.  Every entry does so, whichever shards it
+ * owns: a task that moves between shards would otherwise miss the cancellation.
+ */
 static void
-note_cancelled(struct batch *b, const struct inbox_item *item)
+mark_cancelled(struct batch *b, const struct inbox_item *item)
 {
 	struct batch_job *job;
 	size_t i;
@@ -174,10 +177,10 @@
 
 	if (inbox_item_parse(kv->value, kv->len, &item, &fault) ==
 	    LEDGER_JSON_OK) {
-		note_cancelled(ctx, &item);
+		mark_cancelled(ctx, &item);
 		inbox_item_free(&item);
 	}
-	s = shard_of(ctx, kv->key);
+	s = shard_from_key(ctx, kv->key);
 	if (s == NULL || s->ledger == NULL || s->inbox == INBOX_UNREAD)
 		return;
 	if (s->inbox == INBOX_READY && kv->mod_revision <= s->inbox_revision)
@@ -191,7 +194,7 @@
 	struct inbox_entry *entry;
 	struct batch_shard *s;
 
-	s = shard_of(ctx, key);
+	s = shard_from_key(ctx, key);
 	if (s == NULL || (entry = entry_find(s, key)) == NULL)
 		return;
 	if (entry->revision < revision)
@@ -281,7 +284,7 @@
 		entry->listed = false;
 	for (i = 0; i < result->nkvs; i++)
 		entry_put(s, &result->kvs[i]);
-	/* What the watch told meanwhile and is gone again. */
+	/* Drop items that the watch added and that are deleted since. */
 	TAILQ_FOREACH_SAFE(entry, &s->items, link, next)
 	{
 		if (!entry->listed && entry->revision <= result->revision)
@@ -292,7 +295,7 @@
 }
 
 static uint32_t
-accept_range(struct batch_shard *s, const struct batch_job *job, uint32_t first,
+accept_tasks(struct batch_shard *s, const struct batch_job *job, uint32_t first,
     uint32_t count)
 {
 	struct task_record r = { 0 };
@@ -311,7 +314,7 @@
 }
 
 static bool
-take_job(struct batch_shard *s, struct inbox_entry *entry, int64_t now_ms)
+accept_job(struct batch_shard *s, struct inbox_entry *entry, int64_t now_ms)
 {
 	const struct inbox_item *item;
 	struct batch_job *job;
@@ -322,7 +325,7 @@
 	if (job == NULL || job->phase == RECORD_LOADING)
 		return false;
 	if (job->phase == RECORD_MISSING) {
-		/* Written in the same transaction as the item. */
+		/* Not expected: one transaction writes record and item. */
 		counter_inc_reason("lagoonpin_inbox_refused", "no_job_record");
 		log_error("inbox_item_without_job", "job=%s shard=%s",
 		    item->job, s->name);
@@ -335,7 +338,7 @@
 	n = (uint32_t)(TASKS_OPEN_MAX - s->ledger->ntasks);
 	if (n > item->count)
 		n = item->count;
-	n = accept_range(s, job, item->first, n);
+	n = accept_tasks(s, job, item->first, n);
 	if (n == 0 && item->count != 0)
 		return false;
 	log_info("tasks_accepted",
@@ -350,7 +353,7 @@
 }
 
 static bool
-take_task(struct batch_shard *s, struct inbox_entry *entry, int64_t now_ms)
+accept_task(struct batch_shard *s, struct inbox_entry *entry, int64_t now_ms)
 {
 	const struct task_record *r;
 	struct batch_job *job;
@@ -359,7 +362,7 @@
 	job = record_get(s->batch, r->job, now_ms);
 	if (job == NULL || job->phase == RECORD_LOADING)
 		return false;
-	/* It left here and comes back before its leaving is confirmed. */
+	/* It moved away and back before the store confirmed the move. */
 	if (ledger_find(s->ledger, r->job, r->index) != NULL)
 		return false;
 	if (ledger_accept(s->ledger, r) != LEDGER_OK)
@@ -374,13 +377,13 @@
 }
 
 static bool
-take_cancel(struct batch_shard *s, struct inbox_entry *entry)
+accept_cancel(struct batch_shard *s, struct inbox_entry *entry)
 {
 	struct inbox_item *item;
 	size_t i, n;
 
 	item = &entry->item;
-	note_cancelled(s->batch, item);
+	mark_cancelled(s->batch, item);
 	n = 0;
 	for (i = 0; i < item->njobs; i++)
 		n += ledger_cancel_job(s->ledger, item->jobs[i]);
@@ -392,15 +395,15 @@
 }
 
 static bool
-take_entry(struct batch_shard *s, struct inbox_entry *entry, int64_t now_ms)
+accept_entry(struct batch_shard *s, struct inbox_entry *entry, int64_t now_ms)
 {
 	switch (entry->item.kind) {
 	case INBOX_JOB:
-		return take_job(s, entry, now_ms);
+		return accept_job(s, entry, now_ms);
 	case INBOX_TASK:
-		return take_task(s, entry, now_ms);
+		return accept_task(s, entry, now_ms);
 	case INBOX_CANCEL:
-		return take_cancel(s, entry);
+		return accept_cancel(s, entry);
 	}
 	return false;
 }
@@ -418,7 +421,7 @@
 		read_inbox(s);
 		return;
 	}
-	/* Nothing new is taken over while a write is in doubt. */
+	/* Accept nothing while the outcome of a write is unknown. */
 	if (s->inbox != INBOX_READY || s->ledger->store_away ||
 	    s->ledger->write == WRITE_UNKNOWN)
 		return;
@@ -430,7 +433,7 @@
 			break;
 		if (entry->accepted_revision == entry->revision)
 			continue;
-		if (!take_entry(s, entry, now_ms))
+		if (!accept_entry(s, entry, now_ms))
 			continue;
 		entry->accepted_revision = entry->revision;
 		n++;
--- a/lagoonpind/task_job.c
+++ b/lagoonpind/task_job.c
@@ -6,7 +6,7 @@
 
 #include "batch.h"
 
-/* What operators ask of jobs: list and show. */
+/* Lists and shows jobs for the operators' API. */
 
 #define JOBS_PATH "/v1/jobs/"
 #define CANCEL_PATH "/v1/jobs/cancel"
@@ -24,8 +24,7 @@
 
 static void list_jobs(struct entry *, struct httpd_request *);
 static void on_list(const struct store_range_result *, void *);
-static void add_listed(
-    json_t *, const struct store_kv *, const struct job_list *);
+static void add_job(json_t *, const struct store_kv *, const struct job_list *);
 static void show_job(struct entry *, struct httpd_request *, const char *);
 static void on_show(const struct store_txn_result *, void *);
 static json_t *count_job(const struct job_show *,
@@ -53,7 +52,7 @@
 		return false;
 	path += strlen(JOBS_PATH);
 	if (!record_name_ok(path) || strlen(path) >= LEDGER_ID_MAX) {
-		reply_error(r, 400, "bad_name", "id", "not a job's id");
+		reply_error(r, 400, "bad_name", "id", "invalid job id");
 		return true;
 	}
 	if (strcmp(method, "GET") == 0)
@@ -61,7 +60,7 @@
 	else if (strcmp(method, "DELETE") == 0)
 		cancel_http(e, r, path);
 	else
-		reply_error(r, 405, "bad_method", NULL, "GET or DELETE");
+		reply_error(r, 405, "bad_method", NULL, "use GET or DELETE");
 	return true;
 }
 
@@ -87,11 +86,12 @@
 
 fail:
 	free(list);
-	reply_retry(r, 503, "store_away", "jobs can't be read", RETRY_AFTER_S);
+	reply_retry(r, 503, "store_away", "cannot read jobs from the store",
+	    RETRY_AFTER_S);
 }
 
 static void
-add_listed(json_t *jobs, const struct store_kv *kv, const struct job_list *list)
+add_job(json_t *jobs, const struct store_kv *kv, const struct job_list *list)
 {
 	struct job_fault fault;
 	struct job job;
@@ -99,7 +99,7 @@
 
 	id = kv->key + strlen(BATCH_JOB_PREFIX);
 	if (strchr(id, '/') != NULL)
-		return; /* a summary or a cancellation */
+		return; /* a summary or a cancellation mark */
 	if (job_parse(kv->value, kv->len, &job, &fault) != JOB_OK)
 		return;
 	if (list->team[0] == '\0' || strcmp(list->team, job.team) == 0)
@@ -123,12 +123,12 @@
 	if (list->request.batch != NULL)
 		request_end(&list->request);
 	if (r != NULL && result->error != STORE_OK) {
-		reply_retry(
-		    r, 503, "store_away", "jobs can't be read", RETRY_AFTER_S);
+		reply_retry(r, 503, "store_away",
+		    "cannot read jobs from the store", RETRY_AFTER_S);
 	} else if (r != NULL) {
 		jobs = json_array();
 		for (i = 0; i < result->nkvs; i++)
-			add_listed(jobs, &result->kvs[i], list);
+			add_job(jobs, &result->kvs[i], list);
 		reply_json(r, 200, json_pack("{s:o}", "jobs", jobs));
 	}
 	free(list);
@@ -163,8 +163,8 @@
 
 fail:
 	free(show);
-	reply_retry(
-	    r, 503, "store_away", "the job can't be read", RETRY_AFTER_S);
+	reply_retry(r, 503, "store_away", "cannot read the job from the store",
+	    RETRY_AFTER_S);
 }
 
 static void
@@ -204,7 +204,10 @@
 	ledger_doc_free(&doc);
 }
 
-/* Tasks by state: those that have ended, in ledgers, and still in inboxes. */
+/*
+ * Counts tasks by state: ended ones from summaries, others from ledgers.  The
+ * remainder still waits in inboxes.
+ */
 static json_t *
 count_job(const struct job_show *show, const struct store_op_result *summaries,
     const struct store_op_result *ledgers, uint32_t tasks)
@@ -233,9 +236,9 @@
 	return counts;
 }
 
-/* The job as a whole: what its tasks have come to, or what they do. */
+/* The state of the job, derived from the counts of its tasks. */
 static const char *
-state_of(const json_t *counts, uint32_t tasks)
+job_state(const json_t *counts, uint32_t tasks)
 {
 	json_int_t done, failed, cancelled, waiting;
 
@@ -268,8 +271,8 @@
 	if (r == NULL)
 		goto out;
 	if (result->error != STORE_OK || result->nops != 3) {
-		reply_retry(r, 503, "store_away", "the job can't be read",
-		    RETRY_AFTER_S);
+		reply_retry(r, 503, "store_away",
+		    "cannot read the job from the store", RETRY_AFTER_S);
 		goto out;
 	}
 	if (result->ops[0].nkvs == 0) {
@@ -279,13 +282,13 @@
 	kv = &result->ops[0].kvs[0];
 	if (job_parse(kv->value, kv->len, &job, &fault) != JOB_OK) {
 		reply_error(r, 500, "bad_record", fault.field,
-		    "the job's record can't be read");
+		    "cannot parse the job record");
 		goto out;
 	}
 	counts = count_job(show, &result->ops[1], &result->ops[2], job.tasks);
 	reply_json(r, 200,
 	    json_pack("{s:s, s:s, s:o, s:o}", "id", show->id, "state",
-		state_of(counts, job.tasks), "job",
+		job_state(counts, job.tasks), "job",
 		json_loadb(kv->value, kv->len, 0, NULL), "tasks", counts));
 	job_free(&job);
 out:
--- a/lagoonpind/task_own.c
+++ b/lagoonpind/task_own.c
@@ -7,17 +7,17 @@
 #include "counter.h"
 #include "log.h"
 
-/* Which shards are ours: take, take over, hand over, lose. */
+/* Ownership of shards: acquisition, takeover, hand-over and loss. */
 
-#define TRY_MS 500 /* between two looks at a record that isn't ours */
-#define RETRY_MS 500 /* of failed calls and writes */
-#define CONFIRM_MS 60000 /* ask the store whether we still own it */
-#define CALL_TIMEOUT_MS 5000 /* of a call to a worker, besides its wait */
-#define LOST_AFTER 3
-#define RENEW_GAP_MS 50
+#define READ_INTERVAL_MS 500 /* of the record of an unowned shard */
+#define RETRY_MS 500 /* delay after a failed call or write */
+#define CONFIRM_MAX_MS 60000 /* longest interval of ownership checks */
+#define CALL_TIMEOUT_MS 5000 /* of a call to a worker, plus its wait */
+#define LOST_AFTER 3 /* unanswered calls until a worker is lost */
+#define RENEW_GAP_MS 50 /* the worker itself delays its response */
 #define MAX_FAILURES 5
 #define MAX_NO_ROOM 3
-#define SETTLE_MAX 40 /* job summaries in one write */
+#define JOB_REMOVALS_MAX 40 /* jobs removed in one write */
 
 struct own_read {
 	struct pending_request request;
@@ -25,18 +25,18 @@
 };
 
 static bool is_home(struct batch_shard *, const char **, int64_t);
-static void look(struct batch_shard *, int64_t);
+static void read_record(struct batch_shard *, int64_t);
 static void on_record(const struct store_range_result *, void *);
-static void judge(
+static void evaluate_record(
     struct batch_shard *, const struct ledger_doc *, int64_t, int64_t);
-static enum shard_verdict verdict_on(
+static enum shard_verdict owner_verdict(
     struct batch_shard *, const struct ledger_head *, int64_t);
-static void take(struct batch_shard *, const struct ledger_doc *, int64_t,
+static void acquire(struct batch_shard *, const struct ledger_doc *, int64_t,
     enum shard_verdict, int64_t);
 static struct ledger *open_ledger(struct batch_shard *);
 static int load_ledger(struct batch_shard *, const struct ledger_doc *);
 static void add_workers(struct batch_shard *, int64_t);
-static void tell_peers(struct batch_shard *, const char *, uint64_t);
+static void log_kept_off(struct batch_shard *, const char *, uint64_t);
 
 size_t
 own_live_entries(struct batch *b, const char **ids, size_t max, int64_t now_ms)
@@ -84,7 +84,7 @@
 		if (!s->reading && now_ms >= s->next_try_ms &&
 		    member_may_act(mesh_members(e), now_ms) &&
 		    is_home(s, &home, now_ms))
-			look(s, now_ms);
+			read_record(s, now_ms);
 		return;
 	}
 	if (s->ledger->phase != LEDGER_OWNED || is_home(s, &home, now_ms) ||
@@ -101,15 +101,15 @@
 	ledger_release(s->ledger, now_ms);
 }
 
-/* Read the record to see whether it can be taken. */
+/* Reads the ledger record to decide whether to acquire the shard. */
 static void
-look(struct batch_shard *s, int64_t now_ms)
+read_record(struct batch_shard *s, int64_t now_ms)
 {
 	struct store_range_request request = { 0 };
 	char key[BATCH_KEY_MAX];
 	struct own_read *r;
 
-	s->next_try_ms = now_ms + TRY_MS;
+	s->next_try_ms = now_ms + READ_INTERVAL_MS;
 	if ((r = calloc(1, sizeof(*r))) == NULL)
 		return;
 	strlcpy(r->shard, s->name, sizeof(r->shard));
@@ -154,7 +154,7 @@
 		error = ledger_json_parse(
 		    result->kvs[0].value, result->kvs[0].len, &doc, &fault);
 		if (error != LEDGER_JSON_OK) {
-			/* Never guess: an operator has to look at it. */
+			/* Not acquired: an operator has to inspect it. */
 			counter_inc_reason("lagoonpin_ledgers_refused",
 			    ledger_json_strerror(error));
 			log_error("ledger_refused",
@@ -164,14 +164,14 @@
 			goto out;
 		}
 	}
-	judge(s, &doc, revision, clock_now_ms());
+	evaluate_record(s, &doc, revision, clock_now_ms());
 	ledger_doc_free(&doc);
 out:
 	free(r);
 }
 
 static enum shard_verdict
-verdict_on(
+owner_verdict(
     struct batch_shard *s, const struct ledger_head *head, int64_t now_ms)
 {
 	struct shard_owner owner = { 0 };
@@ -190,30 +190,30 @@
 		owner.silent_ms = v.silent_ms;
 	}
 	member_count_store_reachable(members, now_ms, &heard, &answered);
-	/* With no other entry known there is nobody to be cut off from. */
+	/* An entry that knows no other can't be partitioned from one. */
 	return shard_evaluate(&s->batch->shard_options, &owner, true,
 	    heard == 0 && member_count(members) > 1);
 }
 
 static void
-judge(struct batch_shard *s, const struct ledger_doc *doc, int64_t revision,
-    int64_t now_ms)
+evaluate_record(struct batch_shard *s, const struct ledger_doc *doc,
+    int64_t revision, int64_t now_ms)
 {
 	enum shard_verdict verdict;
 
 	if (s->ledger != NULL || s->batch->entry->phase != ENTRY_RUNNING)
 		return;
-	verdict = verdict_on(s, &doc->head, now_ms);
+	verdict = owner_verdict(s, &doc->head, now_ms);
 	if (verdict == SHARD_NO_TAKEOVER) {
-		tell_peers(s, doc->head.owner, doc->head.epoch);
+		log_kept_off(s, doc->head.owner, doc->head.epoch);
 		return;
 	}
-	take(s, doc, revision, verdict, now_ms);
+	acquire(s, doc, revision, verdict, now_ms);
 }
 
-/* Another entry's ownership is known by its gossip. */
+/* The owner announces itself by gossip; only log it here. */
 static void
-tell_peers(struct batch_shard *s, const char *owner, uint64_t epoch)
+log_kept_off(struct batch_shard *s, const char *owner, uint64_t epoch)
 {
 	log_debug("shard_kept_off", "shard=%s owner=%s epoch=%llu", s->name,
 	    owner, (unsigned long long)epoch);
@@ -231,16 +231,17 @@
 	options.lease_ms = opt->lease_ms;
 	options.margin_ms = opt->margin_ms;
 	options.hold_ms = opt->hold_ms;
-	options.confirm_ms =
-	    opt->hold_ms / 4 < CONFIRM_MS ? opt->hold_ms / 4 : CONFIRM_MS;
+	options.confirm_ms = opt->hold_ms / 4 < CONFIRM_MAX_MS ?
+	    opt->hold_ms / 4 :
+	    CONFIRM_MAX_MS;
 	options.call_timeout_ms = opt->renew_ms + CALL_TIMEOUT_MS;
-	options.renew_ms = RENEW_GAP_MS; /* the worker itself waits */
+	options.renew_ms = RENEW_GAP_MS;
 	options.retry_ms = RETRY_MS;
 	options.ahead = (uint32_t)opt->ahead;
 	options.lost_after = LOST_AFTER;
 	options.max_failures = MAX_FAILURES;
 	options.max_no_room = MAX_NO_ROOM;
-	options.max_job_removals = SETTLE_MAX;
+	options.max_job_removals = JOB_REMOVALS_MAX;
 	options.actions = &s->batch->actions;
 	options.ctx = s;
 	return ledger_open(&options);
@@ -290,7 +291,7 @@
 }
 
 static void
-take(struct batch_shard *s, const struct ledger_doc *doc, int64_t revision,
+acquire(struct batch_shard *s, const struct ledger_doc *doc, int64_t revision,
     enum shard_verdict verdict, int64_t now_ms)
 {
 	if ((s->ledger = open_ledger(s)) == NULL)
@@ -344,8 +345,9 @@
 	    "lagoonpin_shard_losses", ledger_lost_name(s->lost_reason));
 	s->ledger = NULL;
 	s->lost = false;
-	s->next_try_ms =
-	    s->lost_reason == LOST_RELEASED ? now_ms + TRY_MS : now_ms;
+	s->next_try_ms = s->lost_reason == LOST_RELEASED ?
+	    now_ms + READ_INTERVAL_MS :
+	    now_ms;
 	call_cancel(s->batch, s->name);
 	inbox_clear(s);
 	ledger_close(l);
--- a/lagoonpind/task_quota.c
+++ b/lagoonpind/task_quota.c
@@ -3,14 +3,14 @@
 #include "batch.h"
 #include "share.h"
 
-/* Applies a team's limits to what is bound in a shard, by core/share. */
+/* Applies a team's limits to its bound tasks in a shard, with core/share. */
 
-static struct share_limit limit_of(struct batch *, const char *);
+static struct share_limit team_limit(struct batch *, const char *);
 static bool is_unlimited(const struct share_limit *);
-static void add_use(struct share_usage *, struct batch_shard *, const char *);
+static void add_usage(struct share_usage *, struct batch_shard *, const char *);
 
 static struct share_limit
-limit_of(struct batch *b, const char *team)
+team_limit(struct batch *b, const char *team)
 {
 	struct share_limit limit;
 	const struct record_team *record;
@@ -50,12 +50,12 @@
 		if (rack->nworkers > 0 && n < max)
 			shards[n++] = rack->name;
 	}
-	limit = limit_of(b, team);
+	limit = team_limit(b, team);
 	return share_rank_shards(&limit, team, shards, n);
 }
 
 static void
-add_use(struct share_usage *use, struct batch_shard *s, const char *team)
+add_usage(struct share_usage *use, struct batch_shard *s, const char *team)
 {
 	const struct batch_job *job;
 	struct ledger_worker *w;
@@ -83,7 +83,7 @@
 	struct share_usage use = { 0 };
 	size_t i, n;
 
-	limit = limit_of(s->batch, job->job.team);
+	limit = team_limit(s->batch, job->job.team);
 	if (is_unlimited(&limit))
 		return QUOTA_OK;
 	n = quota_shards(s->batch, job->job.team, shards, BATCH_SHARDS_MAX);
@@ -93,6 +93,6 @@
 	}
 	if (i == n)
 		return QUOTA_ELSEWHERE;
-	add_use(&use, s, job->job.team);
+	add_usage(&use, s, job->job.team);
 	return share_allows(&limit, &use, size, n) ? QUOTA_OK : QUOTA_FULL;
 }
--- a/lagoonpind/task_record.c
+++ b/lagoonpind/task_record.c
@@ -10,13 +10,13 @@
 #include "counter.h"
 #include "log.h"
 
-/* Job records: read many at a time, kept while a task of theirs is here. */
+/* Caches job records: reads them in batches, keeps those in use. */
 
-#define READ_MAX 40 /* jobs in one read, two keys each */
+#define READ_MAX 40 /* jobs in one read; two keys per job */
 #define RETRY_MS 1000
 #define MISSING_RETRY_MS 10000
 #define SWEEP_MS 60000
-#define IDLE_MS 600000 /* unused so long, a record is forgotten */
+#define IDLE_MS 600000 /* until an unused record is dropped */
 
 struct records_read {
 	struct pending_request request;
@@ -32,8 +32,8 @@
 static bool parse_record(
     struct batch *, struct batch_job *, const struct store_kv *);
 static bool in_use(struct batch *, const char *);
-static void sweep(struct batch *, int64_t);
-static void job_forget(struct batch_job *);
+static void drop_idle(struct batch *, int64_t);
+static void free_record(struct batch_job *);
 
 struct batch_job *
 record_find(struct batch *b, const char *id)
@@ -204,14 +204,14 @@
 }
 
 static void
-job_forget(struct batch_job *job)
+free_record(struct batch_job *job)
 {
 	job_free(&job->job);
 	free(job);
 }
 
 static void
-sweep(struct batch *b, int64_t now_ms)
+drop_idle(struct batch *b, int64_t now_ms)
 {
 	struct batch_job *job, *next;
 	size_t i;
@@ -223,7 +223,7 @@
 			    in_use(b, job->id))
 				continue;
 			SLIST_REMOVE(&b->jobs[i], job, batch_job, link);
-			job_forget(job);
+			free_record(job);
 		}
 	}
 }
@@ -233,7 +233,7 @@
 {
 	if (now_ms - b->last_sweep_ms >= SWEEP_MS) {
 		b->last_sweep_ms = now_ms;
-		sweep(b, now_ms);
+		drop_idle(b, now_ms);
 	}
 	if (!b->records_reading)
 		read_queued(b, now_ms);
@@ -248,7 +248,7 @@
 	for (i = 0; i < BATCH_JOB_BUCKETS; i++) {
 		while ((job = SLIST_FIRST(&b->jobs[i])) != NULL) {
 			SLIST_REMOVE_HEAD(&b->jobs[i], link);
-			job_forget(job);
+			free_record(job);
 		}
 	}
 }
--- a/lagoonpind/task_retire.c
+++ b/lagoonpind/task_retire.c
@@ -10,22 +10,23 @@
 #include "log.h"
 
 /*
- * Deletes the records of jobs that ended long ago, or the store would fill
- * up.  One entry does it, the home of the key prefix; two at once would only
- * delete the same keys.  A job has ended when the summaries of its shards
- * account for all its tasks, so none is in a ledger or an inbox any more.
+ * Deletes the records of jobs that ended long ago, so that the store doesn't
+ * fill up.  One entry does so, the preferred owner of the key prefix; two at
+ * once are harmless, as they delete the same keys.  A job has ended when the
+ * summaries of its shards account for all its tasks: then none is left in a
+ * ledger or an inbox.
  */
 
-#define RETIRE_MS 600000 /* between two rounds */
-#define KEEP_MS 86400000 /* after the end; by the wall clock */
-#define RETIRE_MAX 24 /* jobs in one round's transaction */
+#define RETIRE_INTERVAL_MS 600000 /* between rounds */
+#define RETENTION_MS 86400000 /* after the end of a job; wall clock */
+#define RETIRE_JOBS_MAX 24 /* jobs in one transaction */
 
 struct retire {
 	struct pending_request request;
 };
 
 static void on_jobs(const struct store_range_result *, void *);
-static size_t group_end(const struct store_range_result *, size_t);
+static size_t job_keys_end(const struct store_range_result *, size_t);
 static bool has_ended(
     const struct store_range_result *, size_t, size_t, int64_t);
 static void delete_jobs(struct batch *, const struct store_kv *const *, size_t);
@@ -41,7 +42,7 @@
 
 	if (now_ms < b->next_retire_ms || b->entry->phase != ENTRY_RUNNING)
 		return;
-	b->next_retire_ms = now_ms + RETIRE_MS;
+	b->next_retire_ms = now_ms + RETIRE_INTERVAL_MS;
 	n = own_live_entries(b, ids, BATCH_LIVE_MAX, now_ms);
 	at = shard_home(BATCH_JOB_PREFIX, ids, n);
 	if (at == n || strcmp(ids[at], b->entry->opt.id) != 0)
@@ -58,9 +59,9 @@
 	request_begin(b, &r->request, NULL);
 }
 
-/* The job at i and all keys below it: they follow it in order. */
+/* The end of the keys of the job at i: those below it follow it in order. */
 static size_t
-group_end(const struct store_range_result *result, size_t i)
+job_keys_end(const struct store_range_result *result, size_t i)
 {
 	const char *key;
 	size_t len, end;
@@ -105,7 +106,7 @@
 static void
 on_jobs(const struct store_range_result *result, void *ctx)
 {
-	const struct store_kv *ended[RETIRE_MAX];
+	const struct store_kv *ended[RETIRE_JOBS_MAX];
 	struct retire *r;
 	struct batch *b;
 	int64_t before_ms;
@@ -117,10 +118,10 @@
 	free(r);
 	if (b == NULL || result->error != STORE_OK)
 		return;
-	before_ms = clock_wall_ms() - KEEP_MS;
+	before_ms = clock_wall_ms() - RETENTION_MS;
 	n = 0;
-	for (i = 0; i < result->nkvs && n < RETIRE_MAX; i = end) {
-		end = group_end(result, i);
+	for (i = 0; i < result->nkvs && n < RETIRE_JOBS_MAX; i = end) {
+		end = job_keys_end(result, i);
 		if (strchr(result->kvs[i].key + strlen(BATCH_JOB_PREFIX),
 			'/') == NULL &&
 		    has_ended(result, i, end, before_ms))
@@ -128,18 +129,18 @@
 	}
 	if (n > 0)
 		delete_jobs(b, ended, n);
-	/* More of them wait: don't pause. */
-	if (n == RETIRE_MAX)
+	/* There may be more: run again on the next tick. */
+	if (n == RETIRE_JOBS_MAX)
 		b->next_retire_ms = 0;
 }
 
-/* Each job only if it is still the record that was read. */
+/* Deletes the jobs, provided that none of their records has changed. */
 static void
 delete_jobs(struct batch *b, const struct store_kv *const *jobs, size_t n)
 {
-	char below[RETIRE_MAX][BATCH_KEY_MAX];
-	struct store_compare compares[RETIRE_MAX] = { { 0 } };
-	struct store_op ops[2 * RETIRE_MAX] = { { 0 } };
+	char below[RETIRE_JOBS_MAX][BATCH_KEY_MAX];
+	struct store_compare compares[RETIRE_JOBS_MAX] = { { 0 } };
+	struct store_op ops[2 * RETIRE_JOBS_MAX] = { { 0 } };
 	struct store_txn_request txn = { 0 };
 	size_t i;
 
@@ -164,7 +165,7 @@
 	counter_add(counter_get("lagoonpin_jobs_retired", ""), n);
 }
 
-/* What wasn't deleted is found again in a later round. */
+/* A later round finds again what wasn't deleted. */
 static void
 on_deleted(const struct store_txn_result *result, void *ctx)
 {
--- a/lagoonpind/task_start.c
+++ b/lagoonpind/task_start.c
@@ -6,7 +6,7 @@
 #include "counter.h"
 #include "log.h"
 
-/* Starts, stops and checkpoints tasks at their workers. */
+/* Starts, stops and checkpoints tasks on their workers. */
 
 #define TASK_TIMEOUT_MS 4000
 #define CHECKPOINT_TIMEOUT_MS 30000
@@ -134,7 +134,7 @@
 	token = json_string_value(json_object_get(body, "checkpoint"));
 	if (result == RESULT_OK &&
 	    (token == NULL || strlen(token) >= LEDGER_CHECKPOINT_MAX)) {
-		/* It has stopped; without a token it starts over. */
+		/* The task has stopped; without a token it restarts. */
 		counter_inc_reason("lagoonpin_checkpoints_lost", "bad_token");
 		token = "";
 	}
--- a/lagoonpind/task_state.c
+++ b/lagoonpind/task_state.c
@@ -6,10 +6,10 @@
 #include "batch.h"
 #include "clock.h"
 
-/* Answers operators about shards, workers and tasks. */
+/* Lists and explains shards, workers and tasks for the operators' API. */
 
 #define RETRY_AFTER_S 5
-#define EXPLAIN_MAX 1000 /* tasks of a job explained at once */
+#define EXPLAIN_MAX 1000 /* tasks of a job in one response */
 
 struct task_query {
 	struct pending_request request;
@@ -152,7 +152,8 @@
 
 fail:
 	free(q);
-	reply_retry(r, 503, "store_away", "tasks can't be read", RETRY_AFTER_S);
+	reply_retry(r, 503, "store_away", "cannot read tasks from the store",
+	    RETRY_AFTER_S);
 }
 
 static void
@@ -175,7 +176,7 @@
 	}
 }
 
-/* Our own ledgers tell more than their records. */
+/* Lists an owned ledger, which has more detail than its record. */
 static void
 add_owned(json_t *list, struct batch_shard *s, const char *job)
 {
@@ -231,7 +232,7 @@
 		if (s->ledger != NULL)
 			add_owned(list, s, q->job);
 	}
-	/* Without the store only what this entry owns is known. */
+	/* Without the store only the shards of this entry are listed. */
 	reply_json(r, 200,
 	    json_pack("{s:o, s:b}", "tasks", list, "complete",
 		result->error == STORE_OK));
@@ -283,8 +284,8 @@
 	if (json_array_size(list) == 0) {
 		json_decref(list);
 		reply_error(r, 404, "not_here", "id",
-		    "no shard of this entry has it; /v1/tasks tells whose "
-		    "does");
+		    "not in a shard owned by this entry; see /v1/tasks for "
+		    "its shard");
 		return true;
 	}
 	reply_json(r, 200, json_pack("{s:o}", "explain", list));
--- a/lagoonpind/task_watch.c
+++ b/lagoonpind/task_watch.c
@@ -7,27 +7,28 @@
 #include "counter.h"
 #include "log.h"
 
-/* Fences workers, renews their leases and takes in what they report. */
+/* Fences workers, renews their leases and processes their reports. */
 
 #define FENCE_TIMEOUT_MS 3000
-#define RENEW_TIMEOUT_MS 4000 /* besides the worker's wait */
-#define PRESSED_WAIT_MS 1000 /* while a service there misses its target */
-#define WINDOW_MS 2000 /* over which a worker measures a service */
+#define RENEW_TIMEOUT_MS 4000 /* plus the worker's wait */
+#define MISSED_TARGET_WAIT_MS 1000 /* while a service misses its target */
+#define SERVICE_WINDOW_MS 2000 /* a worker's measuring window of a service */
 
 struct report_list {
 	struct ledger_report *reports;
 	size_t n;
 };
 
-static int64_t wait_of(struct batch_shard *, const struct ledger_worker *);
-static struct report_list reports_of(const json_t *, const char *);
-static enum task_outcome outcome_of(const json_t *);
-static void take_usage(
+static int64_t renew_wait_ms(
+    struct batch_shard *, const struct ledger_worker *);
+static struct report_list parse_reports(const json_t *, const char *);
+static enum task_outcome parse_outcome(const json_t *);
+static void record_usage(
     struct batch_shard *, struct batch_worker *, const json_t *, int64_t);
-static void take_services(
+static void record_services(
     struct batch_shard *, struct ledger_worker *, const json_t *, int64_t);
-static struct credit_amount used_of(const json_t *);
-static void take_older(const json_t *, struct credit_usage *);
+static struct credit_amount parse_used(const json_t *);
+static void parse_older(const json_t *, struct credit_usage *);
 static void on_fenced(
     struct batch_shard *, struct ledger_worker *, const json_t *, int64_t);
 static void on_renewed(
@@ -42,11 +43,12 @@
 }
 
 /*
- * Renewals bring the measurements.  Where a service misses its target the next
- * ones are wanted sooner, to see whether the last action helped.
+ * How long the worker may hold a renewal.  Its response carries measurements:
+ * where a service misses its target, a shorter wait shows sooner whether the
+ * last action helped.
  */
 static int64_t
-wait_of(struct batch_shard *s, const struct ledger_worker *w)
+renew_wait_ms(struct batch_shard *s, const struct ledger_worker *w)
 {
 	const struct batch_worker *bw;
 	int64_t wait_ms;
@@ -58,8 +60,8 @@
 		if (bw->services[i].state.pressure > 0 &&
 		    bw->services[i].state.target_p99_ms > 0 &&
 		    bw->services[i].state.excess > 1 &&
-		    wait_ms > PRESSED_WAIT_MS)
-			wait_ms = PRESSED_WAIT_MS;
+		    wait_ms > MISSED_TARGET_WAIT_MS)
+			wait_ms = MISSED_TARGET_WAIT_MS;
 	}
 	return wait_ms;
 }
@@ -73,7 +75,7 @@
 	int64_t wait_ms;
 
 	s = ctx;
-	wait_ms = wait_of(s, w);
+	wait_ms = renew_wait_ms(s, w);
 	acks = json_array();
 	TAILQ_FOREACH (ack, &w->acks, link) {
 		if (!ack->sent)
@@ -90,21 +92,21 @@
 }
 
 static enum task_outcome
-outcome_of(const json_t *o)
+parse_outcome(const json_t *o)
 {
-	const char *word;
+	const char *outcome;
 
-	word = json_string_value(json_object_get(o, "outcome"));
-	if (word != NULL && strcmp(word, "done") == 0)
+	outcome = json_string_value(json_object_get(o, "outcome"));
+	if (outcome != NULL && strcmp(outcome, "done") == 0)
 		return OUTCOME_DONE;
-	if (word != NULL && strcmp(word, "failed") == 0)
+	if (outcome != NULL && strcmp(outcome, "failed") == 0)
 		return OUTCOME_FAILED;
 	return OUTCOME_INTERRUPTED;
 }
 
-/* The strings belong to the JSON. */
+/* Parses a list of attempts; its strings point into the JSON. */
 static struct report_list
-reports_of(const json_t *body, const char *name)
+parse_reports(const json_t *body, const char *name)
 {
 	struct report_list list = { NULL, 0 };
 	const json_t *array, *o;
@@ -123,14 +125,14 @@
 		list.reports[list.n].task = task;
 		list.reports[list.n].attempt =
 		    (uint32_t)json_integer_value(json_object_get(o, "attempt"));
-		list.reports[list.n].outcome = outcome_of(o);
+		list.reports[list.n].outcome = parse_outcome(o);
 		list.n++;
 	}
 	return list;
 }
 
 static struct credit_amount
-used_of(const json_t *body)
+parse_used(const json_t *body)
 {
 	struct credit_amount used;
 
@@ -142,12 +144,12 @@
 }
 
 /*
- * A worker that counts the calls of lower epochs apart says so.  From the total
- * alone the slots of calls that ran at the fence come back only when the
- * endpoint is idle for a moment: under load, about never.
+ * Parses the use by calls of lower epochs, which a worker may count separately.
+ * With the total alone, the slots of calls that ran at the fence are recovered
+ * only when the endpoint is idle for a moment, which hardly happens under load.
  */
 static void
-take_older(const json_t *body, struct credit_usage *usage)
+parse_older(const json_t *body, struct credit_usage *usage)
 {
 	const json_t *slots, *connections;
 
@@ -168,8 +170,8 @@
 	bool first;
 
 	first = !w->fenced;
-	running = reports_of(body, "tasks");
-	finished = reports_of(body, "finished");
+	running = parse_reports(body, "tasks");
+	finished = parse_reports(body, "finished");
 	ledger_fence_answered(s->ledger, w, running.reports, running.n,
 	    finished.reports, finished.n, now_ms);
 	free(running.reports);
@@ -181,11 +183,11 @@
 	    "worker=%s shard=%s epoch=%llu running=%zu finished=%zu", w->id,
 	    s->name, (unsigned long long)s->ledger->epoch, running.n,
 	    finished.n);
-	lend_issue(s->batch->entry, w->id, s->ledger->epoch, used_of(body));
+	lend_issue(s->batch->entry, w->id, s->ledger->epoch, parse_used(body));
 }
 
 static void
-take_usage(struct batch_shard *s, struct batch_worker *bw, const json_t *body,
+record_usage(struct batch_shard *s, struct batch_worker *bw, const json_t *body,
     int64_t now_ms)
 {
 	struct resources used;
@@ -219,7 +221,7 @@
 }
 
 static void
-take_services(struct batch_shard *s, struct ledger_worker *w,
+record_services(struct batch_shard *s, struct ledger_worker *w,
     const json_t *body, int64_t now_ms)
 {
 	struct batch_worker *bw;
@@ -243,7 +245,7 @@
 		measured_ms = now_ms -
 		    json_integer_value(json_object_get(o, "measured_ms_ago"));
 		learn_service_p99(bw->learn, learn_kind(s->batch->learn, name),
-		    p99_ms, measured_ms, WINDOW_MS);
+		    p99_ms, measured_ms, SERVICE_WINDOW_MS);
 		evict_on_measurement(s, w, name, p99_ms, measured_ms, now_ms);
 	}
 }
@@ -255,18 +257,18 @@
 	struct credit_usage usage = { 0 };
 	struct report_list running, finished;
 
-	running = reports_of(body, "tasks");
-	finished = reports_of(body, "finished");
+	running = parse_reports(body, "tasks");
+	finished = parse_reports(body, "finished");
 	if (w->data != NULL) {
-		take_usage(s, w->data, body, now_ms);
-		take_services(s, w, body, now_ms);
+		record_usage(s, w->data, body, now_ms);
+		record_services(s, w, body, now_ms);
 	}
 	ledger_renew_answered(s->ledger, w, running.reports, running.n,
 	    finished.reports, finished.n, now_ms);
 	free(running.reports);
 	free(finished.reports);
-	usage.used = used_of(body);
-	take_older(body, &usage);
+	usage.used = parse_used(body);
+	parse_older(body, &usage);
 	lend_report(s->batch->entry, w->id, s->ledger->epoch, &usage);
 }
 
--- a/lagoonpind/task_weights.c
+++ b/lagoonpind/task_weights.c
@@ -1,11 +1,11 @@
 #include "batch.h"
 #include "record.h"
 
-static void scale(double *, int64_t, int64_t);
+static void scale_weight(double *, int64_t, int64_t);
 
-/* The decisions' own weights hold for the policy's defaults. */
+/* Scales a weight by the policy's value relative to its default. */
 static void
-scale(double *weight, int64_t set, int64_t def)
+scale_weight(double *weight, int64_t set, int64_t def)
 {
 	if (def > 0)
 		*weight *= (double)set / (double)def;
@@ -18,7 +18,8 @@
 	struct record_policy def;
 
 	record_policy_default(&def);
-	scale(tail, policy->tail_weight, def.tail_weight);
-	scale(throughput, policy->throughput_weight, def.throughput_weight);
-	scale(eviction, policy->eviction_weight, def.eviction_weight);
+	scale_weight(tail, policy->tail_weight, def.tail_weight);
+	scale_weight(
+	    throughput, policy->throughput_weight, def.throughput_weight);
+	scale_weight(eviction, policy->eviction_weight, def.eviction_weight);
 }
--- a/lagoonpind/task_write.c
+++ b/lagoonpind/task_write.c
@@ -9,13 +9,13 @@
 #include "counter.h"
 #include "log.h"
 
-/* Writes ledgers through the group commit, and reads them back. */
+/* Writes ledgers through the commit loop, and reads them back. */
 
 #define OPS_MAX 96
 
 struct ledger_put {
 	struct batch_shard *shard;
-	uint64_t write; /* of shard->writes */
+	uint64_t write; /* value of shard->writes when it was sent */
 };
 
 struct ledger_read {
@@ -25,7 +25,7 @@
 	int64_t sent_ms;
 };
 
-/* Other keys that change with the ledger. */
+/* Operations on other keys, in the transaction of the ledger write. */
 struct op_list {
 	struct store_op ops[OPS_MAX];
 	char *keys[OPS_MAX];
@@ -69,7 +69,7 @@
 	return ledger_text_close(text);
 }
 
-/* Takes the value. */
+/* Adds an operation; takes ownership of the value. */
 static void
 add_op(
     struct op_list *list, enum store_op_kind kind, const char *key, char *value)
@@ -105,11 +105,11 @@
 	free(list);
 }
 
-/* An item leaves the inbox with the write that takes its tasks over. */
+/* Deletes or reduces the inbox items whose tasks this write accepts. */
 static void
 add_items(struct ledger *l, struct op_list *list)
 {
-	struct inbox_item left = { 0 };
+	struct inbox_item reduced = { 0 };
 	struct inbox_entry *entry;
 	struct batch_shard *s;
 	struct ledger_item *item;
@@ -128,10 +128,10 @@
 			list->failed = true;
 			return;
 		}
-		left = entry->item;
-		left.first = item->remaining_first;
-		left.count = item->remaining_count;
-		add_op(list, STORE_PUT, item->name, inbox_item_text(&left));
+		reduced = entry->item;
+		reduced.first = item->remaining_first;
+		reduced.count = item->remaining_count;
+		add_op(list, STORE_PUT, item->name, inbox_item_text(&reduced));
 	}
 }
 
@@ -148,8 +148,7 @@
 		item.kind = INBOX_TASK;
 		item.task = t->r;
 		item.task.state = TASK_PENDING;
-		/* The same name each time, so a repeated write moves it once.
-		 */
+		/* The name is fixed, so a repeated write moves it once. */
 		snprintf(name, sizeof(name), "move-%s.%u-%u", t->r.job,
 		    t->r.index, t->r.moves);
 		inbox_key(t->moved_to, name, key, sizeof(key));
@@ -157,7 +156,7 @@
 	}
 }
 
-/* What became of a job's tasks here, once none of them is left. */
+/* Adds the summaries of jobs of which no task is left in this shard. */
 static void
 add_summaries(struct ledger *l, struct op_list *list)
 {
@@ -244,15 +243,15 @@
 	struct batch_shard *s;
 	struct ledger_put *p;
 	int64_t now_ms;
-	bool ours;
+	bool current;
 
 	p = ctx;
 	s = p->shard;
-	ours = p->write == s->writes && s->ledger != NULL;
+	current = p->write == s->writes && s->ledger != NULL;
 	free(p);
 	counter_inc_reason(
 	    "lagoonpin_ledger_writes", outcomes[result->outcome]);
-	if (!ours || s->batch->entry->phase == ENTRY_CLOSING)
+	if (!current || s->batch->entry->phase == ENTRY_CLOSING)
 		return;
 	now_ms = clock_now_ms();
 	switch (result->outcome) {
