--- a/tests/ledger_world.cc
+++ b/tests/ledger_world.cc
@@ -7,17 +7,18 @@
 
 const char *const fault_names[NFAULTS] = { "none", "no fence round",
 	"no epoch check", "start before write", "read-back skipped",
-	"release before confirm", "lost start taken as not run",
-	"ack before write", "no wait for former owner", "stop trusted blindly",
-	"write without compare", "started task bound elsewhere" };
+	"release before confirm", "unanswered start taken as not run",
+	"ack before write", "no wait for the former owner",
+	"stopped task taken as unfinished", "write without compare",
+	"started task rebound" };
 
 struct context {
-	world *w;
+	cluster *w;
 	int entry;
 };
 context contexts[2];
 
-world *
+cluster *
 of(void *ctx)
 {
 	return static_cast<context *>(ctx)->w;
@@ -72,7 +73,7 @@
 	c.record.head.epoch = l->epoch;
 	c.record.head.settled = l->settled;
 	c.base = l->revision;
-	c.takes_item = !TAILQ_EMPTY(&l->items);
+	c.deletes_item = !TAILQ_EMPTY(&l->items);
 	RB_FOREACH (t, ledger_tree, &l->tree) {
 		ledger_task_id(t, id, sizeof(id));
 		if (ledger_task_in_record(t))
@@ -143,7 +144,7 @@
 
 	ledger_task_id(t, id, sizeof(id));
 	if (outcome == OUTCOME_INTERRUPTED)
-		of(ctx)->lapsed.insert(id);
+		of(ctx)->interrupted.insert(id);
 }
 
 void
@@ -157,7 +158,7 @@
 	on_outcome, nullptr, on_lost };
 
 void
-world::send(int e, call c)
+cluster::send(int e, call c)
 {
 	c.entry = e;
 	c.generation = nodes[e].generation;
@@ -168,7 +169,7 @@
 }
 
 void
-world::take(int e)
+cluster::acquire(int e)
 {
 	struct ledger_options opt = {};
 	struct ledger *l;
@@ -176,7 +177,7 @@
 
 	contexts[e] = { this, e };
 	opt.shard = "dc.r";
-	opt.self = ids[e];
+	opt.self = entry_ids[e];
 	opt.lease_ms = LEASE;
 	opt.margin_ms = MARGIN;
 	opt.hold_ms = HOLD;
@@ -196,18 +197,19 @@
 	nodes[e].lost = false;
 	for (auto &p : store.tasks)
 		ledger_load_task(l, &p.second);
-	for (auto &id : vms)
+	for (auto &id : worker_ids)
 		ledger_worker_set(l, id, &one, now);
 	ledger_acquire(l, &store.head, revision == 1 ? 0 : revision, 0, now);
-	if (broken == FAULT_NO_HOLD)
+	if (injected == FAULT_NO_HOLD)
 		l->settled = true;
 }
 
-/* Bind a task elsewhere though its start is on its way. */
+/* Rebind a task although its start is in flight. */
 void
 move_started(struct ledger *l, struct ledger_worker *w, struct ledger_task *t)
 {
-	struct ledger_worker *to = ledger_worker_find(l, vms[1 - index_of(w)]);
+	struct ledger_worker *to =
+	    ledger_worker_find(l, worker_ids[1 - index_of(w)]);
 
 	if (t->run != RUN_MAYBE || !t->reserved || !ledger_worker_usable(to) ||
 	    to->waiting > 0 || to->room.used.cpu_millis > 0)
@@ -220,33 +222,33 @@
 	ledger_rebind(l, t, to);
 }
 
-/* Take a safeguard out. */
+/* Disable the safeguard that the injected fault removes. */
 void
-world::sabotage(struct ledger *l)
+cluster::inject_fault(struct ledger *l)
 {
 	struct ledger_worker *w;
 	struct ledger_task *t, *next;
 	struct ledger_ack *ack;
 
-	if (broken == FAULT_START_FIRST && l->phase == LEDGER_OWNED)
+	if (injected == FAULT_START_FIRST && l->phase == LEDGER_OWNED)
 		l->committed = l->change;
 	TAILQ_FOREACH (w, &l->workers, link) {
-		if (broken == FAULT_NO_FENCE)
+		if (injected == FAULT_NO_FENCE)
 			w->fenced = true;
 		TAILQ_FOREACH (ack, &w->acks, link)
-			if (broken == FAULT_EARLY_ACK)
+			if (injected == FAULT_EARLY_ACK)
 				ack->changed_at = 0;
 		TAILQ_FOREACH_SAFE(t, &w->tasks, link, next)
 		{
-			if (broken == FAULT_MOVE_STARTED)
+			if (injected == FAULT_MOVE_STARTED)
 				move_started(l, w, t);
-			if ((broken == FAULT_NO_FENCE &&
+			if ((injected == FAULT_NO_FENCE &&
 				t->run == RUN_UNFENCED) ||
-			    (broken == FAULT_EARLY_RELEASE &&
+			    (injected == FAULT_EARLY_RELEASE &&
 				t->call == CALL_STOP) ||
-			    (broken == FAULT_LOST_START &&
+			    (injected == FAULT_LOST_START &&
 				t->run == RUN_MAYBE && t->call == CALL_NONE) ||
-			    (broken == FAULT_STOP_IS_STOP &&
+			    (injected == FAULT_STOP_UNFINISHED &&
 				t->run == RUN_STOPPED)) {
 				t->run = RUN_NO;
 				t->call = CALL_NONE;
@@ -257,7 +259,7 @@
 }
 
 void
-world::step(int e)
+cluster::step(int e)
 {
 	struct ledger *l = nodes[e].ledger;
 	struct task_record r = {};
@@ -274,10 +276,10 @@
 			ledger_accept(l, &r);
 	}
 	if (l->phase == LEDGER_OWNED)
-		sabotage(l);
+		inject_fault(l);
 	ledger_step(l, now);
-	if (broken == FAULT_START_FIRST && !nodes[e].lost) {
-		sabotage(l);
+	if (injected == FAULT_START_FIRST && !nodes[e].lost) {
+		inject_fault(l);
 		ledger_step(l, now);
 	}
 	if (nodes[e].lost) {
@@ -287,17 +289,20 @@
 }
 
 void
-world::expire()
+cluster::expire()
 {
-	for (auto &m : machines) {
+	for (auto &m : sim_workers) {
 		for (size_t i = 0; i < m.running.size();) {
 			run &r = m.running[i];
 			if (r.lease_end > now) {
 				i++;
 				continue;
 			}
-			m.over[r.task] = std::max(m.over[r.task], r.attempt);
-			/* Interrupted: reported as attempt with the top bit. */
+			m.highest_ended[r.task] =
+			    std::max(m.highest_ended[r.task], r.attempt);
+			/*
+			 * The top bit of the attempt means OUTCOME_INTERRUPTED.
+			 */
 			m.finished.push_back(
 			    { r.task, r.attempt | 0x80000000U });
 			m.running.erase(m.running.begin() + (long)i);
@@ -305,9 +310,9 @@
 	}
 }
 
-/* Time passes while one entry, or none, exchanges calls with the workers. */
+/* Advance the time; only the given entry, if any, reaches the workers. */
 void
-world::pass(int64_t step_ms, int reaches)
+cluster::advance_time(int64_t step_ms, int reaches)
 {
 	if (reaches < 0)
 		now += step_ms;
@@ -329,40 +334,40 @@
 }
 
 void
-world::store_takes(call &c)
+cluster::handle_store_call(call &c)
 {
 	if (c.kind == READ) {
 		c.record = store;
 		c.revision = revision == 1 ? 0 : revision;
 		return;
 	}
-	c.refused = broken != FAULT_NO_REVISION &&
+	c.refused = injected != FAULT_NO_REVISION &&
 	    (c.base != (revision == 1 ? 0 : revision) ||
-		(c.takes_item && !item));
+		(c.deletes_item && !item));
 	if (c.refused)
 		return;
 	revision++;
 	store = c.record;
-	if (c.takes_item)
+	if (c.deletes_item)
 		item = false;
 	c.revision = revision;
 	for (auto &p : store.tasks) {
-		if (p.second.attempt < highest[p.first])
-			violation = "attempt went back";
-		highest[p.first] = p.second.attempt;
+		if (p.second.attempt < highest_attempt[p.first])
+			violation = "attempt number decreased";
+		highest_attempt[p.first] = p.second.attempt;
 	}
 }
 
 void
-world::machine_takes(call &c)
+cluster::handle_worker_call(call &c)
 {
-	vm &m = machines[c.worker];
+	sim_worker &m = sim_workers[c.worker];
 	auto same = [&c](const run &r) {
 		return r.task == c.task && r.attempt == c.attempt;
 	};
 	auto it = std::find_if(m.running.begin(), m.running.end(), same);
 
-	if (c.epoch < m.epoch && broken != FAULT_NO_EPOCH) {
+	if (c.epoch < m.epoch && injected != FAULT_NO_EPOCH) {
 		c.refused = true;
 		c.seen_epoch = m.epoch;
 		return;
@@ -391,14 +396,15 @@
 	case START:
 		if (it != m.running.end())
 			break;
-		if (m.over.count(c.task) && m.over[c.task] >= c.attempt) {
+		if (m.highest_ended.count(c.task) &&
+		    m.highest_ended[c.task] >= c.attempt) {
 			c.result = RESULT_STALE;
 			break;
 		}
 		if (!started[c.task].insert(c.attempt).second)
 			violation = "attempt ran twice";
-		if (done.count(c.task) && !lapsed.count(c.task))
-			violation = "finished work was redone";
+		if (done.count(c.task) && !interrupted.count(c.task))
+			violation = "finished task ran again";
 		m.running.push_back({ c.task, c.attempt, now + LEASE });
 		break;
 	default:
@@ -407,20 +413,21 @@
 		else {
 			if (it != m.running.end())
 				m.running.erase(it);
-			m.over[c.task] = std::max(m.over[c.task], c.attempt);
+			m.highest_ended[c.task] =
+			    std::max(m.highest_ended[c.task], c.attempt);
 		}
 	}
 }
 
 void
-world::answered_store(struct ledger *l, const call &c, bool no_answer)
+cluster::answered_store(struct ledger *l, const call &c, bool no_answer)
 {
 	if (c.kind == READ) {
 		ledger_read_done(l, no_answer ? nullptr : &c.record.head,
 		    c.revision, c.sent_ms, now);
 		return;
 	}
-	if (no_answer && broken == FAULT_NO_READ_BACK)
+	if (no_answer && injected == FAULT_NO_READ_BACK)
 		ledger_write_done(l, l->revision + 1, c.sent_ms, now);
 	else if (no_answer)
 		ledger_write_unknown(l, now);
@@ -443,9 +450,9 @@
 }
 
 void
-world::answered_machine(struct ledger *l, const call &c, bool no_answer)
+cluster::answered_worker(struct ledger *l, const call &c, bool no_answer)
 {
-	struct ledger_worker *w = ledger_worker_find(l, vms[c.worker]);
+	struct ledger_worker *w = ledger_worker_find(l, worker_ids[c.worker]);
 	call_result result = no_answer ? RESULT_NO_ANSWER : c.result;
 	auto running = reports(c.running);
 	auto finished = reports(c.finished);
@@ -485,7 +492,7 @@
 }
 
 void
-world::answered(const call &c, bool no_answer)
+cluster::answered(const call &c, bool no_answer)
 {
 	node &n = nodes[c.entry];
 
@@ -494,12 +501,12 @@
 	if (c.kind == WRITE || c.kind == READ)
 		answered_store(n.ledger, c, no_answer);
 	else
-		answered_machine(n.ledger, c, no_answer);
+		answered_worker(n.ledger, c, no_answer);
 	step(c.entry);
 }
 
 std::vector<event>
-world::enabled() const
+cluster::enabled() const
 {
 	std::vector<event> out;
 
@@ -508,7 +515,7 @@
 		bool paused = nodes[c.entry].paused;
 		if (c.request || !paused)
 			out.push_back({ DELIVER, i, 0 });
-		if (c.waiting && !paused && left.give_ups > 0 &&
+		if (c.waiting && !paused && remaining.give_ups > 0 &&
 		    nodes[c.entry].generation == c.generation &&
 		    nodes[c.entry].ledger != nullptr)
 			out.push_back({ GIVE_UP, i, 0 });
@@ -516,20 +523,20 @@
 	for (int e = 0; e < 2; e++) {
 		if (nodes[e].paused)
 			out.push_back({ WAKE, e, 0 });
-		else if (nodes[e].ledger != nullptr && left.pauses > 0)
+		else if (nodes[e].ledger != nullptr && remaining.pauses > 0)
 			out.push_back({ PAUSE, e, 0 });
-		if (nodes[e].ledger == nullptr && left.takes > 0)
+		if (nodes[e].ledger == nullptr && remaining.takes > 0)
 			out.push_back({ TAKE, e, 0 });
 	}
 	for (int e = -1; e < 2; e++) {
 		if (e >= 0 && (nodes[e].paused || nodes[e].ledger == nullptr))
 			continue;
-		if (left.ticks > 0)
+		if (remaining.ticks > 0)
 			out.push_back({ TICK, e, 0 });
-		if (left.long_ticks > 0)
+		if (remaining.long_ticks > 0)
 			out.push_back({ LONG_TICK, e, 0 });
 	}
-	for (int e = 0; e < 2 && left.evicts > 0; e++) {
+	for (int e = 0; e < 2 && remaining.evicts > 0; e++) {
 		for (int i = 0; i < ntasks && nodes[e].ledger != nullptr &&
 		     !nodes[e].paused;
 		     i++) {
@@ -540,18 +547,18 @@
 				out.push_back({ EVICT, e, i });
 		}
 	}
-	for (int e = 0; e < 2 && left.evicts > 0; e++) {
+	for (int e = 0; e < 2 && remaining.evicts > 0; e++) {
 		if (nodes[e].ledger != nullptr && !nodes[e].paused)
 			out.push_back({ LEAVE, e, 0 });
 	}
-	for (int m = 0; m < 2 && left.finishes > 0; m++)
-		for (int i = 0; i < (int)machines[m].running.size(); i++)
+	for (int m = 0; m < 2 && remaining.finishes > 0; m++)
+		for (int i = 0; i < (int)sim_workers[m].running.size(); i++)
 			out.push_back({ FINISH, m, i });
 	return out;
 }
 
 void
-world::apply(const event &ev)
+cluster::apply(const event &ev)
 {
 	switch (ev.kind) {
 	case DELIVER: {
@@ -562,9 +569,9 @@
 			break;
 		}
 		if (c.kind == WRITE || c.kind == READ)
-			store_takes(c);
+			handle_store_call(c);
 		else
-			machine_takes(c);
+			handle_worker_call(c);
 		c.request = false;
 		if (c.waiting)
 			calls.push_back(c);
@@ -572,7 +579,7 @@
 	}
 	case GIVE_UP: {
 		call c = calls[(size_t)ev.a];
-		left.give_ups--;
+		remaining.give_ups--;
 		if (c.request)
 			calls[(size_t)ev.a].waiting = false;
 		else
@@ -581,7 +588,7 @@
 		break;
 	}
 	case PAUSE:
-		left.pauses--;
+		remaining.pauses--;
 		nodes[ev.a].paused = true;
 		break;
 	case WAKE:
@@ -589,38 +596,41 @@
 		step(ev.a);
 		break;
 	case TAKE:
-		left.takes--;
-		take(ev.a);
+		remaining.takes--;
+		acquire(ev.a);
 		step(ev.a);
 		break;
 	case TICK:
 	case LONG_TICK:
 		if (ev.kind == TICK)
-			left.ticks--;
+			remaining.ticks--;
 		else
-			left.long_ticks--;
-		pass(ev.kind == TICK ? LEASE * 2 + MARGIN + TIMEOUT : HOLD,
+			remaining.long_ticks--;
+		advance_time(
+		    ev.kind == TICK ? LEASE * 2 + MARGIN + TIMEOUT : HOLD,
 		    ev.a);
 		break;
 	case EVICT:
-		left.evicts--;
+		remaining.evicts--;
 		ledger_evict(nodes[ev.a].ledger,
 		    ledger_find(nodes[ev.a].ledger, "j", (uint32_t)ev.b),
 		    WANT_STOP, "test");
 		step(ev.a);
 		break;
 	case LEAVE:
-		left.evicts--;
+		remaining.evicts--;
 		ledger_worker_leaving(
-		    ledger_worker_find(nodes[ev.a].ledger, vms[ev.b]), true);
+		    ledger_worker_find(nodes[ev.a].ledger, worker_ids[ev.b]),
+		    true);
 		step(ev.a);
 		break;
 	case FINISH: {
-		vm &m = machines[ev.a];
+		sim_worker &m = sim_workers[ev.a];
 		run r = m.running[(size_t)ev.b];
-		left.finishes--;
+		remaining.finishes--;
 		m.running.erase(m.running.begin() + ev.b);
-		m.over[r.task] = std::max(m.over[r.task], r.attempt);
+		m.highest_ended[r.task] =
+		    std::max(m.highest_ended[r.task], r.attempt);
 		m.finished.push_back({ r.task, r.attempt });
 		done.insert(r.task);
 		break;
@@ -630,16 +640,16 @@
 }
 
 void
-world::check()
+cluster::check()
 {
 	std::map<std::string, int> where;
 
-	for (auto &m : machines) {
+	for (auto &m : sim_workers) {
 		if (m.running.size() > 1)
-			violation = "worker over its room";
+			violation = "worker over its capacity";
 		for (auto &r : m.running) {
 			if (++where[r.task] > 1)
-				violation = "task runs in two places";
+				violation = "task runs on two workers";
 		}
 	}
 	for (int i = 0; i < ntasks; i++) {
@@ -649,11 +659,13 @@
 	}
 }
 
-/* No more faults: everything is delivered and every task must get done. */
+/*
+ * Continue without faults: all calls are delivered and every task must finish.
+ */
 void
-world::drain()
+cluster::run_to_completion()
 {
-	left = { 0, 0, 100, 1000, 0, 0, 1000 };
+	remaining = { 0, 0, 100, 1000, 0, 0, 1000 };
 	nodes[0].paused = nodes[1].paused = false;
 	for (int round = 0; round < 300 && violation.empty(); round++) {
 		if (done.size() == (size_t)ntasks && store.tasks.empty())
@@ -663,16 +675,16 @@
 		for (int i = 0; i < 20 && !calls.empty(); i++)
 			apply({ DELIVER, 0, 0 });
 		for (int m = 0; m < 2; m++)
-			if (!machines[m].running.empty())
+			if (!sim_workers[m].running.empty())
 				apply({ FINISH, m, 0 });
-		/* Otherwise only time makes something due. */
+		/* Advance the time so that retries and renewals become due. */
 		now += 1;
 		expire();
 		step(0);
 		step(1);
 	}
 	if (violation.empty())
-		violation = "a task never got done";
+		violation = "a task never finished";
 }
 
 } // namespace ledger_world
--- a/tests/ledger_world.h
+++ b/tests/ledger_world.h
@@ -12,24 +12,25 @@
 }
 
 /*
- * Two entries, one store record and two workers, for test_ledger_model: which
- * events can happen, what each does, and what must hold after it.
+ * Simulated cluster for test_ledger_model: two entries, one store record and
+ * two workers.  Defines the possible events, their effects and the invariants
+ * that are checked after each of them.
  */
 namespace ledger_world {
 
 enum fault {
 	FAULT_NONE,
-	FAULT_NO_FENCE, /* takeover without asking the workers */
-	FAULT_NO_EPOCH, /* workers take calls of any epoch */
+	FAULT_NO_FENCE, /* takeover without fencing the workers */
+	FAULT_NO_EPOCH, /* workers accept calls of any epoch */
 	FAULT_START_FIRST, /* start before the write is confirmed */
-	FAULT_NO_READ_BACK, /* a lost answer is taken for a success */
-	FAULT_EARLY_RELEASE, /* room given back when the stop is sent */
-	FAULT_LOST_START, /* a start without an answer: not running */
+	FAULT_NO_READ_BACK, /* a write without an answer counts as done */
+	FAULT_EARLY_RELEASE, /* resources freed when the stop is sent */
+	FAULT_LOST_START, /* a start without an answer counts as not run */
 	FAULT_EARLY_ACK, /* finishes acknowledged before the write */
-	FAULT_NO_HOLD, /* former owner's renewals not waited for */
-	FAULT_STOP_IS_STOP, /* a stopped task may not have finished before */
-	FAULT_NO_REVISION, /* the store doesn't compare */
-	FAULT_MOVE_STARTED, /* bound elsewhere though a start was sent */
+	FAULT_NO_HOLD, /* no wait until a former owner can't renew */
+	FAULT_STOP_UNFINISHED, /* a stopped task counts as unfinished */
+	FAULT_NO_REVISION, /* the store doesn't compare revisions */
+	FAULT_MOVE_STARTED, /* rebound although a start was sent */
 	NFAULTS
 };
 
@@ -46,15 +47,15 @@
 	call_kind kind;
 	int entry;
 	int generation; /* of the entry's ledger */
-	bool request; /* on the way there, else the answer on the way back */
-	bool waiting; /* the caller still wants the answer */
+	bool request; /* the request is in flight; false: the answer */
+	bool waiting; /* the call hasn't timed out at the caller */
 	int worker;
 	uint64_t epoch;
 	std::string task;
 	uint32_t attempt;
 	std::vector<std::pair<std::string, uint32_t>> acks;
 	int64_t base;
-	bool takes_item;
+	bool deletes_item;
 	struct record record;
 	int64_t sent_ms;
 	/* The answer. */
@@ -72,10 +73,10 @@
 	int64_t lease_end;
 };
 
-struct vm {
+struct sim_worker {
 	uint64_t epoch;
 	std::vector<run> running;
-	std::map<std::string, uint32_t> over; /* highest attempt that ended */
+	std::map<std::string, uint32_t> highest_ended; /* attempt */
 	std::vector<std::pair<std::string, uint32_t>> finished;
 };
 
@@ -96,10 +97,10 @@
 	PAUSE,
 	WAKE,
 	TAKE,
-	TICK, /* time passes; a: the entry that reaches the workers, or -1 */
+	TICK, /* time passes; a: entry that reaches the workers, or -1 */
 	LONG_TICK,
 	EVICT,
-	LEAVE, /* the VM list says so to one entry */
+	LEAVE, /* an entry learns that a worker is draining */
 	FINISH
 };
 
@@ -110,15 +111,15 @@
 };
 
 const int64_t LEASE = 10, MARGIN = 1, HOLD = 100, TIMEOUT = 3;
-const char *const ids[] = { "A", "B" };
-const char *const vms[] = { "w0", "w1" };
+const char *const entry_ids[] = { "A", "B" };
+const char *const worker_ids[] = { "w0", "w1" };
 const int NTASKS_MAX = 2;
 
-class world {
+class cluster {
       public:
-	fault broken;
+	fault injected;
 	int ntasks;
-	bounds left;
+	bounds remaining;
 	int64_t now = 1000;
 	record store;
 	int64_t revision = 1;
@@ -126,45 +127,46 @@
 	int64_t item_revision = 1;
 	std::vector<call> calls;
 	node nodes[2] = {};
-	vm machines[2] = {};
+	sim_worker sim_workers[2] = {};
 	std::map<std::string, std::set<uint32_t>> started;
 	std::set<std::string> done;
-	std::set<std::string> lapsed; /* a lease ended an attempt by time */
-	std::map<std::string, uint32_t> highest;
+	std::set<std::string> interrupted; /* tasks with an expired lease */
+	std::map<std::string, uint32_t> highest_attempt;
 	std::string violation;
 
-	world(fault f, int tasks, bounds b) : broken(f), ntasks(tasks), left(b)
+	cluster(fault f, int tasks, bounds b)
+	    : injected(f), ntasks(tasks), remaining(b)
 	{
 		store.head = {};
 	}
-	~world()
+	~cluster()
 	{
 		ledger_close(nodes[0].ledger);
 		ledger_close(nodes[1].ledger);
 	}
-	world(const world &) = delete;
-	world &operator=(const world &) = delete;
+	cluster(const cluster &) = delete;
+	cluster &operator=(const cluster &) = delete;
 
 	std::vector<event> enabled() const;
 	void apply(const event &);
-	void take(int);
+	void acquire(int);
 	void step(int);
 	std::string key() const;
 	bool settled() const;
 	void check();
-	void drain();
+	void run_to_completion();
 
 	void send(int e, call c);
 
       private:
-	void store_takes(call &);
-	void machine_takes(call &);
+	void handle_store_call(call &);
+	void handle_worker_call(call &);
 	void answered(const call &, bool no_answer);
 	void answered_store(struct ledger *, const call &, bool);
-	void answered_machine(struct ledger *, const call &, bool);
+	void answered_worker(struct ledger *, const call &, bool);
 	void expire();
-	void pass(int64_t, int);
-	void sabotage(struct ledger *);
+	void advance_time(int64_t, int);
+	void inject_fault(struct ledger *);
 };
 
 } // namespace ledger_world
--- a/tests/ledger_world_key.cc
+++ b/tests/ledger_world_key.cc
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-/* The state of the world as text: equal states have equal texts. */
+/* Encodes the state of the cluster as text; equal states have equal texts. */
 namespace ledger_world {
 
 static void
@@ -13,7 +13,7 @@
 }
 
 static std::string
-call_key(const world &w, const call &c)
+call_key(const cluster &w, const call &c)
 {
 	std::string out;
 
@@ -92,7 +92,7 @@
 }
 
 std::string
-world::key() const
+cluster::key() const
 {
 	std::vector<std::string> keys;
 	std::string out;
@@ -102,8 +102,9 @@
 	put(out, (int64_t)store.head.epoch);
 	out += store.head.owner;
 	put(out, item);
-	for (int b : { left.give_ups, left.pauses, left.takes, left.ticks,
-		 left.long_ticks, left.evicts, left.finishes })
+	for (int b : { remaining.give_ups, remaining.pauses, remaining.takes,
+		 remaining.ticks, remaining.long_ticks, remaining.evicts,
+		 remaining.finishes })
 		put(out, b);
 	for (auto &p : store.tasks) {
 		out += p.second.worker;
@@ -113,14 +114,14 @@
 		put(out, n.paused);
 		out += n.ledger != nullptr ? ledger_key(n.ledger) : "-";
 	}
-	for (auto &m : machines) {
+	for (auto &m : sim_workers) {
 		put(out, (int64_t)m.epoch);
 		for (auto &r : m.running) {
 			out += r.task;
 			put(out, r.attempt);
 			put(out, r.lease_end);
 		}
-		for (auto &p : m.over) {
+		for (auto &p : m.highest_ended) {
 			out += p.first;
 			put(out, p.second);
 		}
@@ -134,7 +135,7 @@
 	std::sort(keys.begin(), keys.end());
 	for (auto &k : keys)
 		out += k;
-	for (auto &t : lapsed)
+	for (auto &t : interrupted)
 		out += t;
 	return out;
 }
--- a/tests/test_accept.cc
+++ b/tests/test_accept.cc
@@ -15,7 +15,7 @@
 
 namespace {
 
-// An entry whose store answers as the test says, from the loop.
+// An entry with a store whose answers the test supplies, from the event loop.
 class Accept : public ::testing::Test {
       protected:
 	struct Call {
@@ -35,7 +35,7 @@
 		options.loop = &loop;
 		options.id = "e1";
 		options.ip = "127.0.0.1";
-		/* Below the ports that the system gives to clients. */
+		/* Below the ephemeral ports. */
 		options.port = 11000 + getpid() % 9000;
 		options.data_center = "here";
 		options.power = 1;
@@ -46,7 +46,7 @@
 			FailedMs };
 		options.platform = { this, "c/", "w/", Config, WorkerEntry,
 			WorkerId };
-		/* Other programs on the machine may have it. */
+		/* The port may be in use by another program. */
 		for (int i = 0; i < 20 && node == nullptr; i++) {
 			options.port++;
 			node = node_open(&options, &error);
@@ -57,7 +57,7 @@
 	void
 	TearDown() override
 	{
-		// Calls that the entry made are answered before it goes.
+		// Requests in flight are answered after the entry is closed.
 		node_close(node);
 		while (!reads.empty())
 			AnswerRead();
@@ -80,9 +80,9 @@
 		node_submit(node, g, clock_now_ms() + wait_ms, Replied, this);
 	}
 
-	// Let the entry's timers run for so long.
+	// Run the entry's timers for that long.
 	void
-	Pass(int64_t ms)
+	Advance(int64_t ms)
 	{
 		clock_advance(ms);
 		uv_update_time(&loop);
@@ -192,14 +192,15 @@
 {
 	Submit("a", 3000);
 	ASSERT_EQ(writes.size(), 1u);
-	EXPECT_EQ(compares, 2u); // neither handed in nor ended before
+	EXPECT_EQ(compares, 2u); // neither submitted nor ended before
 	EXPECT_TRUE(replies.empty());
 	AnswerWrite(KV_OK);
 	ASSERT_EQ(replies.size(), 1u);
 	EXPECT_EQ(replies[0].outcome, NODE_ACCEPTED);
 }
 
-// The caller repeats a job that another entry stored: it is the same job.
+// The caller repeats a job that another entry has stored: it is accepted as the
+// same job.
 TEST_F(Accept, ARepeatFindsWhatIsStored)
 {
 	struct kv_item item = { "lp/j/a", "{}", 2, 5 };
@@ -210,23 +211,23 @@
 	EXPECT_EQ(replies[0].outcome, NODE_ACCEPTED);
 }
 
-// The store surely didn't do the write, time and again: the caller hears that
-// its job wasn't taken, and when to come back.
+// Every write certainly failed: the caller is told that its job was not
+// accepted, and when to retry.
 TEST_F(Accept, CertainFailureIsARefusal)
 {
 	Submit("a", 1000);
 	for (int i = 0; i < 20 && replies.empty(); i++) {
 		if (!writes.empty())
 			AnswerWrite(KV_UNAVAILABLE);
-		Pass(100);
+		Advance(100);
 	}
 	ASSERT_EQ(replies.size(), 1u);
 	EXPECT_EQ(replies[0].outcome, NODE_NOT_DONE);
 	EXPECT_GT(replies[0].retry_after_ms, 0);
 }
 
-// One write had no answer and may be done yet.  Whatever the later ones say,
-// the caller must not hear that its job wasn't taken.
+// One write got no answer and may yet take effect.  Whatever the results of
+// later writes, the caller must not be told that its job was not accepted.
 TEST_F(Accept, AWriteWithoutAnswerIsNeverARefusal)
 {
 	Submit("a", 1000);
@@ -234,26 +235,26 @@
 	for (int i = 0; i < 20 && replies.empty(); i++) {
 		if (!writes.empty())
 			AnswerWrite(KV_UNAVAILABLE);
-		Pass(100);
+		Advance(100);
 	}
 	ASSERT_EQ(replies.size(), 1u);
 	EXPECT_EQ(replies[0].outcome, NODE_NO_ANSWER);
 }
 
-// The lost write was done after all: the repeat finds it.
-TEST_F(Accept, ALostWriteIsFoundByItsRepeat)
+// The write without an answer took effect: the retry finds its record.
+TEST_F(Accept, AWriteWithoutAnswerIsFoundByItsRetry)
 {
 	struct kv_item item = { "lp/j/a", "{}", 2, 5 };
 
 	Submit("a", 3000);
 	AnswerWrite(KV_UNKNOWN);
-	Pass(20);
+	Advance(20);
 	AnswerWrite(KV_CONFLICT, { item });
 	ASSERT_EQ(replies.size(), 1u);
 	EXPECT_EQ(replies[0].outcome, NODE_ACCEPTED);
 }
 
-// The store is known to be down: the caller hears so at once.
+// The store is known to be unavailable: the caller is refused at once.
 TEST_F(Accept, AnOutageIsToldAtOnce)
 {
 	failed_ms = clock_now_ms();
@@ -269,7 +270,7 @@
 	for (int i = 0; i < 20 && replies.empty(); i++) {
 		while (!reads.empty())
 			AnswerRead();
-		Pass(100);
+		Advance(100);
 	}
 	ASSERT_EQ(replies.size(), 1u);
 	EXPECT_EQ(replies[0].outcome, NODE_NO_ANSWER);
--- a/tests/test_admit.cc
+++ b/tests/test_admit.cc
@@ -82,7 +82,7 @@
 		    s, item(deadline_ms, priority), now_ms, &retry_after_ms);
 	}
 
-	/* Let the oldest started call end well. */
+	/* Finish the oldest started call with success. */
 	void
 	finish_first(int64_t now_ms)
 	{
@@ -92,7 +92,7 @@
 		admit_finish(it, true, now_ms);
 	}
 
-	/* Teach the service time. */
+	/* Train the estimate of the service time. */
 	void
 	serve_one(admit_service *s, int64_t served_ms)
 	{
@@ -111,20 +111,25 @@
 		EXPECT_EQ(offer(s, 100000, 100), ADMIT_ACCEPTED);
 	admit_run(a, 100);
 	EXPECT_EQ(started.size(), 2U);
-	/* Four wait for two credits of 100 ms each: 250 ms, and 100 to run. */
+	/*
+	 * Four calls wait for two credits of 100 ms each: 250 ms, and 100 ms to
+	 * run.
+	 */
 	EXPECT_EQ(admit_wait_ms(s, ADMIT_NORMAL), 250);
 	EXPECT_EQ(offer(s, 199, 100), ADMIT_CANT_MEET_DEADLINE);
 	EXPECT_EQ(offer(s, 100 + 349, 100), ADMIT_CANT_MEET_DEADLINE);
 	EXPECT_GE(retry_after_ms, 1);
 	EXPECT_EQ(offer(s, 100 + 350, 100), ADMIT_ACCEPTED);
-	/* An urgent one has nothing ahead of it. */
+	/* No call is queued ahead of an urgent one. */
 	EXPECT_EQ(offer(s, 100 + 150, 100, ADMIT_URGENT), ADMIT_ACCEPTED);
 	EXPECT_EQ(offer(s, 50, 100), ADMIT_CANT_MEET_DEADLINE);
 }
 
-/* A queued call's turn comes when it can't be done any more in time.  It is
- * told so instead of being started, and the slot goes to the next one. */
-TEST_F(Admit, TurnThatComesTooLate)
+/*
+ * A queued call is due for dispatch when it can no longer meet its deadline.
+ * It expires instead of being started, and the slot goes to the next call.
+ */
+TEST_F(Admit, DispatchAfterTheDeadlineExpires)
 {
 	admit_service *s = service(1);
 	serve_one(s, 100);
@@ -141,8 +146,10 @@
 	EXPECT_EQ(started[0], items[3].get());
 }
 
-/* A slow spell makes the estimate longer than every deadline.  Some calls are
- * still let through, so that the end of the spell is noticed. */
+/*
+ * A slow period raises the estimate above every deadline.  Some calls are still
+ * admitted, so that the end of the period is detected.
+ */
 TEST_F(Admit, RecoversFromASlowSpell)
 {
 	admit_service *s = service(8);
@@ -158,8 +165,10 @@
 	EXPECT_LT(admit_service_ms(s), 200);
 }
 
-/* The callers refused in one burst are told different times, or they would
- * all come back together and be the next burst. */
+/*
+ * The callers refused in one burst get different retry times, or they would all
+ * return together as the next burst.
+ */
 TEST_F(Admit, RefusedCallersReturnSpreadOut)
 {
 	admit_service *s = service(1);
@@ -203,8 +212,10 @@
 	EXPECT_EQ(started.size(), 80U);
 }
 
-/* A service without a credit doesn't hold back another one, and its calls
- * may be cancelled meanwhile. */
+/*
+ * A service without credits does not block another one, and its calls may be
+ * cancelled in the meantime.
+ */
 TEST_F(Admit, BlockedServiceHoldsNobodyBack)
 {
 	admit_service *blocked = service(0), *open = service(0);
@@ -220,7 +231,7 @@
 	EXPECT_EQ(started.size(), 1U);
 }
 
-/* Callers give up in a burst: every place is free for the next pass. */
+/* A burst of callers cancels: all their slots are free in the next pass. */
 TEST_F(Admit, BurstOfCancellationsFreesInOnePass)
 {
 	admit_service *s = service(5);
@@ -239,8 +250,10 @@
 	EXPECT_EQ(admit_running(a), 5U);
 }
 
-/* The deadline passes for a running call and a queued one: both are given
- * up on at that moment, in the order of their deadlines. */
+/*
+ * The deadline of a running call and of a queued one passes: both expire at
+ * that moment, in the order of their deadlines.
+ */
 TEST_F(Admit, ExpiresQueuedAndRunning)
 {
 	admit_service *s = service(1);
@@ -254,7 +267,9 @@
 	ASSERT_EQ(expired.size(), 2U);
 	EXPECT_EQ(expired[0], items[1].get());
 	EXPECT_EQ(admit_next_deadline_ms(a), -1);
-	/* What a running call took before it expired counts as served. */
+	/*
+	 * The time of a running call until it expired counts as service time.
+	 */
 	EXPECT_EQ(admit_service_ms(s), 300);
 }
 
--- a/tests/test_bind.cc
+++ b/tests/test_bind.cc
@@ -66,9 +66,9 @@
 		    domain, this, random * 0x9e3779b97f4a7c15u, now);
 	}
 
-	/* Teach that the kind slows the service. */
+	/* Train the model: the kind slows the service. */
 	void
-	teach(learn_worker *w)
+	train(learn_worker *w)
 	{
 		int64_t t = now - 900000;
 		learn_service_p99(w, service, 10, t, 10000);
@@ -85,7 +85,7 @@
 	std::vector<bind_worker> workers;
 };
 
-/* Fill one dimension of the only worker to the brim and just over. */
+/* Fill one dimension of the only worker exactly, and by one unit more. */
 TEST_F(Bind, FitsInEveryDimensionOrNotAtAll)
 {
 	const struct {
@@ -126,7 +126,7 @@
 	EXPECT_EQ(bind().index, 0);
 }
 
-TEST_F(Bind, TheCallersLastWordOnRoomCounts)
+TEST_F(Bind, TheCallersCheckOfRoomIsFinal)
 {
 	add(6);
 	bind_fits_cb third = [](void *, size_t i, const resources *) {
@@ -136,7 +136,7 @@
 		EXPECT_EQ(bind(r, third).index, 3);
 }
 
-/* Each row makes every worker but 0 worse by one thing alone. */
+/* Each row makes every worker except 0 worse in one respect. */
 TEST_F(Bind, TakesTheBestAndSaysWhy)
 {
 	const struct {
@@ -172,7 +172,7 @@
 TEST_F(Bind, AKindKnownToDisturbGoesWhereNoServiceIs)
 {
 	add(3);
-	teach(workers[0].learnt);
+	train(workers[0].learnt);
 	learn_tenant_end(workers[2].learnt, 1, now - 1);
 	for (uint64_t r = 0; r < 8; r++) {
 		EXPECT_EQ(bind(r).index, 2);
@@ -180,13 +180,16 @@
 	}
 }
 
-TEST_F(Bind, UnknownPairsAreTriedWhenAllIsCalm)
+TEST_F(Bind, UnknownPairsAreExploredWithoutPressure)
 {
 	int other = learn_kind(l, "v/other");
 	add(2);
 	o.explore = 1;
-	/* The kind is known beside the service, not beside the other. */
-	teach(workers[0].learnt);
+	/*
+	 * The effect of the kind is known on the service, but not on the other
+	 * kind.
+	 */
+	train(workers[0].learnt);
 	learn_tenant_start(workers[1].learnt, 5, other, 100, now - 1);
 	EXPECT_EQ(bind().reason, BIND_EXPLORE);
 	EXPECT_EQ(bind().index, 1);
@@ -215,9 +218,9 @@
 }
 
 /*
- * A worker that fails every task is always empty.  It must get nothing
- * while it is left alone, one ordinary task as a probe when that is over,
- * and never the work that has waited or is urgent.
+ * A worker that fails every task is always empty.  While it is backed off it
+ * must get no task, then one ordinary task as a probe, and never an urgent or a
+ * resumed task.
  */
 TEST_F(Bind, AFailingWorkerGetsOneOrdinaryTaskAsAProbe)
 {
@@ -241,9 +244,9 @@
 }
 
 /*
- * A new job declares a quarter of what it uses.  If all its tasks started
- * on that, their VMs would carry four times too much until the first late
- * measurement.
+ * A new job declares a quarter of what it uses.  If all its tasks started with
+ * that reservation, their VMs would carry four times too much until the first
+ * delayed measurement.
  */
 TEST_F(Bind, ANewJobStartsWithAFewTasksUntilItIsMeasured)
 {
@@ -288,7 +291,7 @@
 	EXPECT_EQ(asked, 64);
 }
 
-TEST_F(Bind, WorkBoundAheadGoesWhereItWouldRunOutFirst)
+TEST_F(Bind, WorkIsBoundAheadWhereTheQueueIsShortest)
 {
 	add(4);
 	task.run_ms = 10000;
@@ -306,7 +309,7 @@
 	}
 	EXPECT_EQ(workers[3].work_ms, 3 * 40000);
 	EXPECT_EQ(bind_ahead(&o, &task, all.data(), 4, 1, now).index, 0);
-	/* 200 s of one processor are 6.25 s of 32. */
+	/* 200 s of one processor are 6.25 s of 32 processors. */
 	workers[0].work_ms = workers[3].work_ms = 200000;
 	o.ahead_ms = 6251;
 	EXPECT_EQ(bind_ahead(&o, &task, all.data(), 4, 1, now).index % 3, 0);
@@ -320,7 +323,10 @@
 	    bind_ahead(&o, &task, all.data(), 4, 1, now).reason, BIND_NO_FIT);
 }
 
-/* All orders of resumed, urgent and accepted, against the stated order. */
+/*
+ * Compares every pair of resumed, urgent and accepted_ms against the documented
+ * order.
+ */
 TEST(BindOrder, EvictedFirstThenUrgentThenOldest)
 {
 	std::vector<struct bind_task> sorted;
--- a/tests/test_budget.cc
+++ b/tests/test_budget.cc
@@ -28,8 +28,8 @@
 }
 
 /*
- * An endpoint fails for a minute.  The successes before it are forgotten, so
- * that only the reserve is left and retries don't bury what still answers.
+ * An endpoint fails for a minute.  Earlier successes expire, so that only the
+ * reserve is left and retries do not overload the endpoints that still answer.
  */
 TEST(Budget, OldSuccessesAreForgotten)
 {
--- a/tests/test_choose.cc
+++ b/tests/test_choose.cc
@@ -11,7 +11,7 @@
 
 const int64_t now = 1000000;
 
-/* Endpoints with credits, all alike, and a service that learn knows. */
+/* Identical endpoints with credits, and a service known to core/learn. */
 class Choose : public ::testing::Test {
       public:
 	void
@@ -59,7 +59,7 @@
 		    &o, all.data(), all.size(), kind, 0, exclude, random, at);
 	}
 
-	/* How often each is chosen over many draws. */
+	/* Counts how often each endpoint is chosen. */
 	std::vector<int>
 	tally(int draws, int64_t at = now)
 	{
@@ -93,7 +93,7 @@
 	}
 }
 
-/* Each row makes endpoint 0 the better of two by one thing alone. */
+/* Each row makes endpoint 1 worse than endpoint 0 in one respect. */
 TEST_F(Choose, PrefersTheBetterOfTwoAndSaysWhy)
 {
 	struct {
@@ -150,11 +150,11 @@
 }
 
 /*
- * An endpoint that fails every call at once has none in flight.  Callers
- * would see failures for as long as it looks idle.  Its failures must cost
- * it its calls, and only for a time: then one may try again.
+ * An endpoint that fails every call at once has none in flight, so it looks
+ * idle and would attract calls, which all fail.  After failures it must get no
+ * calls for a time, and then be tried again.
  */
-TEST_F(Choose, AFailingEndpointIsLeftAloneAndTriedAgain)
+TEST_F(Choose, AFailingEndpointIsAvoidedAndTriedAgain)
 {
 	add(4);
 	for (int i = 0; i < 3; i++)
@@ -180,7 +180,7 @@
 	EXPECT_GT(used, 500);
 }
 
-TEST_F(Choose, ALatencyFromAfarIsLearntWithoutTheDistance)
+TEST_F(Choose, ARemoteLatencyIsLearntWithoutTheNetworkDelay)
 {
 	add(1);
 	endpoints[0].data_center = 1;
--- a/tests/test_claim.cc
+++ b/tests/test_claim.cc
@@ -40,7 +40,10 @@
 	return ops;
 }
 
-/* One answer of the store; a record is "OUR" nonce or a foreign one. */
+/*
+ * One answer of the store.  Its record holds the nonce of this claim, or
+ * another one.
+ */
 struct Answer {
 	claim_store_result result;
 	bool ours;
@@ -56,8 +59,9 @@
 };
 
 const Answer done = { CLAIM_STORE_DONE, true, CLAIM_MARK_OPEN, 10 };
-const Answer lost = { CLAIM_STORE_NO_ANSWER, false, CLAIM_MARK_OPEN, 10 };
-const Answer away = { CLAIM_STORE_UNAVAILABLE, false, CLAIM_MARK_OPEN, 10 };
+const Answer no_answer = { CLAIM_STORE_NO_ANSWER, false, CLAIM_MARK_OPEN, 10 };
+const Answer unavailable = { CLAIM_STORE_UNAVAILABLE, false, CLAIM_MARK_OPEN,
+	10 };
 const Answer absent = { CLAIM_STORE_ABSENT, false, CLAIM_MARK_OPEN, 10 };
 const Answer ours = { CLAIM_STORE_CONFLICT, true, CLAIM_MARK_OPEN, 10 };
 const Answer other = { CLAIM_STORE_CONFLICT, false, CLAIM_MARK_OPEN, 10 };
@@ -66,29 +70,30 @@
 	10 };
 const Answer found_other = { CLAIM_STORE_DONE, false, CLAIM_MARK_OPEN, 10 };
 const Answer done_old = { CLAIM_STORE_DONE, true, CLAIM_MARK_OPEN, 500 };
-const Answer lost_old = { CLAIM_STORE_NO_ANSWER, false, CLAIM_MARK_OPEN, 500 };
+const Answer no_answer_old = { CLAIM_STORE_NO_ANSWER, false, CLAIM_MARK_OPEN,
+	500 };
 
 const Case cases[] = {
 	{ "plain", { done }, "create granted ", true },
 	{ "second", { other }, "create duplicate ", false },
 	{ "second_after_end", { ended }, "create duplicate ", false },
 	{ "own_write_seen_twice", { ours }, "create granted ", true },
-	{ "lost_then_ours", { lost, done }, "create read granted ", true },
-	{ "lost_then_other", { lost, found_other }, "create read duplicate ",
-	    false },
-	{ "lost_then_absent", { lost, absent, done },
+	{ "lost_then_ours", { no_answer, done }, "create read granted ", true },
+	{ "lost_then_other", { no_answer, found_other },
+	    "create read duplicate ", false },
+	{ "lost_then_absent", { no_answer, absent, done },
 	    "create read create granted ", true },
 	{ "given_back", { given_back, done }, "create replace granted ", true },
 	{ "given_back_raced", { given_back, other },
 	    "create replace duplicate ", false },
-	{ "away", { away }, "create store ", false },
-	/* The write may be there: give the id back, best effort. */
-	{ "lost_then_away", { lost, away }, "create read give_back store ",
-	    false },
-	{ "lost_absent_away", { lost, absent, away },
+	{ "away", { unavailable }, "create store ", false },
+	/* The write may have taken effect: release the id, best effort. */
+	{ "lost_then_away", { no_answer, unavailable },
+	    "create read give_back store ", false },
+	{ "lost_absent_away", { no_answer, absent, unavailable },
 	    "create read create give_back store ", false },
 	{ "too_old", { done_old }, "create give_back late ", false },
-	{ "lost_too_old", { lost_old }, "create give_back late ", false },
+	{ "lost_too_old", { no_answer_old }, "create give_back late ", false },
 	{ "late_answer_ignored", { done, other }, "create granted ", true },
 };
 
@@ -129,9 +134,9 @@
 }
 
 /*
- * The entry claims an id and is paused before it sends.  When it wakes, the
- * record may have lapsed and another entry may have run the id; the caller
- * would pay twice.  So an old claim may not send any more.
+ * The entry claims an id and is paused before it sends the call.  When it
+ * resumes, the record may have expired and another entry may have run the id; a
+ * payout would be made twice.  An old claim must therefore not be sent.
  */
 TEST(Claim, PausedAfterTheGrantMayNotSend)
 {
--- a/tests/test_claim_model.cc
+++ b/tests/test_claim_model.cc
@@ -1,14 +1,15 @@
 /*
- * Every interleaving, to a depth, of two entries that are sent the same
- * non-idempotent id: three attempts, a store that loses answers before or
- * after the effect or lets a write take effect late, an entry that dies, one
- * that is paused past the lease of its claim, an endpoint that refuses or
- * whose answer is lost.  The code under test is core/claim.c itself.
+ * Explores every interleaving, up to a given depth, of three attempts at the
+ * same non-idempotent request id on two entries.  The faults: the store's
+ * answer is lost before or after the write takes effect, or the write takes
+ * effect late; an entry dies, or is paused for longer than the lease of its
+ * claim; an endpoint refuses, or its answer is lost.  The code under test is
+ * core/claim.c itself.
  *
- * Time is a number of leases: a step makes every record lapse and every
- * claim too old.  A request on the wire doesn't outlive a step, since TCP
- * gives up in minutes and the lease is a day.  An id is remembered for a
- * lease, so runs count as doubled when they fall between two steps.
+ * Time advances in units of a lease: one step makes every record expire and
+ * every claim too old.  A request on the wire does not outlive a step, since
+ * TCP gives up after minutes and the lease is a day.  An id is remembered for
+ * one lease, so two runs are a violation only if no step lies between them.
  */
 #include <gtest/gtest.h>
 
@@ -30,16 +31,19 @@
 constexpr int NDELAYED = 2;
 constexpr int64_t LEASE_MS = 1000;
 constexpr int64_t AGE_MAX_MS = 100;
-constexpr int8_t NOBODY = -1;
+constexpr int8_t NO_HOLDER = -1;
 
 enum Op : int8_t { OP_NONE, OP_CREATE, OP_REPLACE, OP_READ };
-enum Told : int8_t { TOLD_NOTHING, TOLD_NOT_RUN, TOLD_UNKNOWN, TOLD_ANSWER };
+enum Reply : int8_t { REPLY_NONE, REPLY_NOT_RUN, REPLY_UNKNOWN, REPLY_ANSWER };
 
 struct Options {
 	int depth = 0;
 	bool faults = true;
-	/* Begin after an attempt of A that was told not-run and gave back. */
-	bool given_back = false;
+	/*
+	 * Start after an attempt of entry A that ended as not-run and released
+	 * the id.
+	 */
+	bool released = false;
 	bool skip_read_back = false;
 	bool send_before_claim = false;
 	bool no_age_check = false;
@@ -52,7 +56,7 @@
 	Op op;
 	bool arrived, granted, on_wire, settle;
 	claim_mark settle_mark;
-	Told told;
+	Reply reply;
 	int8_t runs;
 };
 
@@ -62,8 +66,8 @@
 	int64_t revision;
 };
 
-/* Copied and hashed as bytes: no pointers but to the constant ops. */
-struct World {
+/* Copied and hashed as bytes, so the only pointers are to the constant ops. */
+struct State {
 	Attempt a[NATTEMPTS];
 	Delayed late[NDELAYED];
 	int64_t now_ms, revision, written_ms;
@@ -87,28 +91,28 @@
 }
 
 void
-ask(claim *c, Op op, int64_t revision)
+set_request(claim *c, Op op, int64_t revision)
 {
 	attempt_of(c)->op = op;
 	attempt_of(c)->op_revision = revision;
 }
 
 const claim_ops ops = {
-	[](claim *c, void *) { ask(c, OP_CREATE, 0); },
+	[](claim *c, void *) { set_request(c, OP_CREATE, 0); },
 	[](claim *c, int64_t revision, void *) {
-		ask(c, OP_REPLACE, revision);
+		set_request(c, OP_REPLACE, revision);
 	},
-	[](claim *c, void *) { ask(c, OP_READ, 0); },
+	[](claim *c, void *) { set_request(c, OP_READ, 0); },
 	[](claim *c, claim_mark mark, void *) {
 		attempt_of(c)->settle = true;
 		attempt_of(c)->settle_mark = mark;
 	},
 	[](claim *c, void *) { attempt_of(c)->granted = true; },
 	[](claim *c, claim_refusal why, void *) {
-		if (attempt_of(c)->told == TOLD_NOTHING)
-			attempt_of(c)->told = why == CLAIM_REFUSED_DUPLICATE ?
-			    TOLD_UNKNOWN :
-			    TOLD_NOT_RUN;
+		if (attempt_of(c)->reply == REPLY_NONE)
+			attempt_of(c)->reply = why == CLAIM_REFUSED_DUPLICATE ?
+			    REPLY_UNKNOWN :
+			    REPLY_NOT_RUN;
 	},
 	nullptr,
 };
@@ -124,37 +128,37 @@
 	size_t states = 0;
 	std::string violation;
 	bool saw_run = false, saw_duplicate = false, saw_reclaim = false;
-	bool saw_quiet = false;
-	int quiet_runs_min = 99, quiet_runs_max = 0;
+	bool saw_quiescent = false;
+	int quiescent_runs_min = 99, quiescent_runs_max = 0;
 
       private:
-	void successors(const World &w);
-	void arrive(World *w, int i);
-	void attempt_events(const World &w, int i);
-	void store_events(const World &w, int i);
-	void wire_events(const World &w, int i);
-	void world_events(const World &w);
-	void add(const World &w);
-	bool apply(World *w, int i, Op op, int64_t revision);
-	void answer(World *w, int i, claim_store_result result);
-	void deliver(World *w, int i);
-	void delay(World *w, int i);
-	void check(const World &w);
+	void successors(const State &w);
+	void arrive(State *w, int i);
+	void attempt_events(const State &w, int i);
+	void store_events(const State &w, int i);
+	void wire_events(const State &w, int i);
+	void environment_events(const State &w);
+	void add(const State &w);
+	bool apply(State *w, int i, Op op, int64_t revision);
+	void answer(State *w, int i, claim_store_result result);
+	void deliver(State *w, int i);
+	void delay(State *w, int i);
+	void check(const State &w);
 
 	Options o;
 	std::unordered_set<uint64_t> seen;
-	std::vector<World> next;
+	std::vector<State> next;
 	size_t added = 0;
 	bool last_step = false;
 };
 
-/* Carry out a write; false: another record is there. */
+/* Carry out a write.  Returns false if the store holds another record. */
 bool
-Model::apply(World *w, int i, Op op, int64_t revision)
+Model::apply(State *w, int i, Op op, int64_t revision)
 {
-	bool free = op == OP_CREATE ?
-	    w->holder == NOBODY :
-	    w->holder != NOBODY && (w->revision == revision || o.blind_replace);
+	bool free = op == OP_CREATE ? w->holder == NO_HOLDER :
+				      w->holder != NO_HOLDER &&
+		(w->revision == revision || o.blind_replace);
 	if (!free)
 		return false;
 	if (op == OP_REPLACE)
@@ -167,12 +171,12 @@
 }
 
 void
-Model::answer(World *w, int i, claim_store_result result)
+Model::answer(State *w, int i, claim_store_result result)
 {
 	claim_record r = {};
 	if (result == CLAIM_STORE_NO_ANSWER && o.skip_read_back)
 		result = CLAIM_STORE_DONE;
-	if (w->holder != NOBODY) {
+	if (w->holder != NO_HOLDER) {
 		memcpy(r.nonce, w->a[w->holder].c.nonce, sizeof(r.nonce));
 		r.mark = w->mark;
 		r.revision = w->revision;
@@ -182,25 +186,25 @@
 }
 
 void
-Model::deliver(World *w, int i)
+Model::deliver(State *w, int i)
 {
 	Attempt &a = w->a[i];
 	claim_store_result result;
 
 	if (a.op == OP_READ)
-		result =
-		    w->holder == NOBODY ? CLAIM_STORE_ABSENT : CLAIM_STORE_DONE;
+		result = w->holder == NO_HOLDER ? CLAIM_STORE_ABSENT :
+						  CLAIM_STORE_DONE;
 	else if (apply(w, i, a.op, a.op_revision))
 		result = CLAIM_STORE_DONE;
 	else
-		result = w->holder == NOBODY ? CLAIM_STORE_ABSENT :
-					       CLAIM_STORE_CONFLICT;
+		result = w->holder == NO_HOLDER ? CLAIM_STORE_ABSENT :
+						  CLAIM_STORE_CONFLICT;
 	answer(w, i, result);
 }
 
-/* Put the write aside, to take effect later or never. */
+/* Delay the write, to take effect later or never. */
 void
-Model::delay(World *w, int i)
+Model::delay(State *w, int i)
 {
 	for (Delayed &d : w->late) {
 		if (d.op != OP_NONE)
@@ -213,33 +217,34 @@
 }
 
 void
-Model::check(const World &w)
+Model::check(const State &w)
 {
 	if (w.runs_now > 1)
 		violation = "the id ran twice";
 	for (const Attempt &a : w.a) {
-		if (a.runs > 0 && a.told == TOLD_NOT_RUN)
-			violation = "not-run was told of an attempt that ran";
+		if (a.runs > 0 && a.reply == REPLY_NOT_RUN)
+			violation =
+			    "an attempt that ran was reported as not-run";
 		saw_run |= a.runs > 0;
-		saw_duplicate |= a.told == TOLD_UNKNOWN && a.runs == 0;
+		saw_duplicate |= a.reply == REPLY_UNKNOWN && a.runs == 0;
 	}
 }
 
 void
-Model::add(const World &w)
+Model::add(const State &w)
 {
 	added++;
 	check(w);
-	/* The states of the last step are checked, not kept. */
+	/* States of the last level are checked but not expanded. */
 	if (!last_step && seen.insert(XXH3_64bits(&w, sizeof(w))).second)
 		next.push_back(w);
 }
 
 void
-Model::store_events(const World &w, int i)
+Model::store_events(const State &w, int i)
 {
 	const Attempt &a = w.a[i];
-	World n;
+	State n;
 
 	if (a.op == OP_NONE)
 		return;
@@ -266,22 +271,22 @@
 	add(n);
 }
 
-/* Sending, and what the endpoint does with it. */
+/* The request being sent, and the reaction of the endpoint. */
 void
-Model::wire_events(const World &w, int i)
+Model::wire_events(const State &w, int i)
 {
 	const Attempt &a = w.a[i];
-	World n = w;
+	State n = w;
 	Attempt &b = n.a[i];
 
-	if (a.granted && a.told == TOLD_NOTHING && !a.on_wire &&
+	if (a.granted && a.reply == REPLY_NONE && !a.on_wire &&
 	    !w.dead[entry_of(i)]) {
 		b.granted = false;
 		if (o.no_age_check || o.send_before_claim ||
 		    claim_may_send(&b.c, w.now_ms)) {
 			b.on_wire = true;
 		} else {
-			b.told = TOLD_NOT_RUN;
+			b.reply = REPLY_NOT_RUN;
 			claim_finish(&b.c, false);
 		}
 		add(n);
@@ -292,19 +297,19 @@
 	b.on_wire = false;
 	b.runs++;
 	n.runs_now++;
-	if (a.told == TOLD_NOTHING && !w.dead[entry_of(i)]) {
-		b.told = TOLD_ANSWER;
+	if (a.reply == REPLY_NONE && !w.dead[entry_of(i)]) {
+		b.reply = REPLY_ANSWER;
 		claim_finish(&b.c, true);
 	}
 	add(n);
-	if (!o.faults || a.told != TOLD_NOTHING || w.dead[entry_of(i)])
+	if (!o.faults || a.reply != REPLY_NONE || w.dead[entry_of(i)])
 		return;
-	/* Given up on with the request still under way. */
+	/* The attempt ends with the request still on the wire. */
 	n = w;
-	b.told = TOLD_UNKNOWN;
+	b.reply = REPLY_UNKNOWN;
 	claim_finish(&b.c, true);
 	add(n);
-	/* The endpoint refuses; another one is tried. */
+	/* The endpoint refuses and another one is tried. */
 	n = w;
 	b.on_wire = false;
 	b.granted = true;
@@ -312,7 +317,7 @@
 }
 
 void
-Model::arrive(World *w, int i)
+Model::arrive(State *w, int i)
 {
 	Attempt &a = w->a[i];
 	claim_options co = {};
@@ -331,10 +336,10 @@
 }
 
 void
-Model::attempt_events(const World &w, int i)
+Model::attempt_events(const State &w, int i)
 {
 	const Attempt &a = w.a[i];
-	World n = w;
+	State n = w;
 	Attempt &b = n.a[i];
 
 	if (w.dead[entry_of(i)])
@@ -345,19 +350,19 @@
 		return;
 	}
 	/* The deadline passes before the request is sent. */
-	if (o.faults && a.told == TOLD_NOTHING && !a.on_wire && a.runs == 0) {
+	if (o.faults && a.reply == REPLY_NONE && !a.on_wire && a.runs == 0) {
 		claim_abandon(&b.c);
 		claim_finish(&b.c, false);
-		b.told = TOLD_NOT_RUN;
+		b.reply = REPLY_NOT_RUN;
 		b.granted = false;
 		add(n);
 	}
 }
 
 void
-Model::world_events(const World &w)
+Model::environment_events(const State &w)
 {
-	World n;
+	State n;
 
 	for (int j = 0; o.faults && j < NDELAYED; j++) {
 		if (w.late[j].op == OP_NONE)
@@ -383,8 +388,8 @@
 		n.steps++;
 		n.now_ms += LEASE_MS;
 		n.runs_now = 0;
-		if (n.holder != NOBODY) {
-			n.holder = NOBODY;
+		if (n.holder != NO_HOLDER) {
+			n.holder = NO_HOLDER;
 			n.mark = CLAIM_MARK_OPEN;
 		}
 		for (Attempt &a : n.a)
@@ -394,9 +399,9 @@
 }
 
 void
-Model::successors(const World &w)
+Model::successors(const State &w)
 {
-	World n;
+	State n;
 
 	added = 0;
 	for (int i = 0; i < NATTEMPTS; i++) {
@@ -418,46 +423,46 @@
 			add(n);
 		}
 	}
-	world_events(w);
+	environment_events(w);
 	if (added > 0)
 		return;
 	int runs = 0;
 	for (const Attempt &a : w.a)
 		runs += a.runs;
-	saw_quiet = true;
-	quiet_runs_min = std::min(quiet_runs_min, runs);
-	quiet_runs_max = std::max(quiet_runs_max, runs);
+	saw_quiescent = true;
+	quiescent_runs_min = std::min(quiescent_runs_min, runs);
+	quiescent_runs_max = std::max(quiescent_runs_max, runs);
 }
 
 void
 Model::explore()
 {
-	World w;
+	State w;
 
 	memset(&w, 0, sizeof(w));
-	w.holder = NOBODY;
-	if (o.given_back) {
+	w.holder = NO_HOLDER;
+	if (o.released) {
 		arrive(&w, 0);
 		deliver(&w, 0);
 		claim_finish(&w.a[0].c, false);
 		w.a[0].granted = w.a[0].settle = false;
-		w.a[0].told = TOLD_NOT_RUN;
+		w.a[0].reply = REPLY_NOT_RUN;
 		w.mark = CLAIM_MARK_NOT_RUN;
 		w.revision++;
 	}
 	add(w);
 	for (int d = 0; d < o.depth && violation.empty(); d++) {
-		std::vector<World> level;
+		std::vector<State> level;
 		last_step = d + 1 == o.depth;
 		level.swap(next);
 		states += level.size();
-		for (const World &v : level) {
+		for (const State &v : level) {
 			successors(v);
 			if (!violation.empty())
 				break;
 		}
 	}
-	std::cout << (o.given_back ? "given back first, " : "") << "depth "
+	std::cout << (o.released ? "released first, " : "") << "depth "
 		  << o.depth << ", states " << states << ", "
 		  << (violation.empty() ? "holds" : violation) << std::endl;
 }
@@ -468,10 +473,10 @@
 {
 	bool saw_run = false, saw_duplicate = false, saw_reclaim = false;
 
-	for (bool given_back : { false, true }) {
+	for (bool released : { false, true }) {
 		Options o;
 		o.depth = DEPTH;
-		o.given_back = given_back;
+		o.released = released;
 		Model m(o);
 		m.explore();
 		EXPECT_EQ(m.violation, "");
@@ -479,13 +484,13 @@
 		saw_duplicate |= m.saw_duplicate;
 		saw_reclaim |= m.saw_reclaim;
 	}
-	/* The search isn't empty: it went through the cases that matter. */
+	/* Check that the search reached the relevant cases. */
 	EXPECT_TRUE(saw_run);
 	EXPECT_TRUE(saw_duplicate);
 	EXPECT_TRUE(saw_reclaim);
 }
 
-/* Without faults, whatever the order, one attempt runs and only one. */
+/* Without faults exactly one attempt runs, in any order of events. */
 TEST(ClaimModel, WithoutFaultsItRunsOnce)
 {
 	Options o;
@@ -494,9 +499,9 @@
 	Model m(o);
 	m.explore();
 	EXPECT_EQ(m.violation, "");
-	EXPECT_TRUE(m.saw_quiet);
-	EXPECT_EQ(m.quiet_runs_min, 1);
-	EXPECT_EQ(m.quiet_runs_max, 1);
+	EXPECT_TRUE(m.saw_quiescent);
+	EXPECT_EQ(m.quiescent_runs_min, 1);
+	EXPECT_EQ(m.quiescent_runs_max, 1);
 }
 
 struct Break {
@@ -505,23 +510,23 @@
 };
 
 const Break breaks[] = {
-	{ "lost answer taken as success", &Options::skip_read_back },
+	{ "no answer taken as success", &Options::skip_read_back },
 	{ "sent before the claim", &Options::send_before_claim },
 	{ "age not checked before sending", &Options::no_age_check },
-	{ "given-back id taken without compare", &Options::blind_replace },
+	{ "released id replaced without comparison", &Options::blind_replace },
 };
 
 TEST(ClaimModel, EachBreakIsCaught)
 {
 	for (const Break &b : breaks) {
 		std::string found;
-		for (bool given_back : { false, true }) {
+		for (bool released : { false, true }) {
 			Options o;
 			o.depth = DEPTH;
-			o.given_back = given_back;
+			o.released = released;
 			o.*b.flag = true;
-			if (o.blind_replace && !given_back)
-				continue; /* it has nothing to replace */
+			if (o.blind_replace && !released)
+				continue; /* there is no record to replace */
 			Model m(o);
 			std::cout << b.name << ": ";
 			m.explore();
--- a/tests/test_conf.cc
+++ b/tests/test_conf.cc
@@ -1,4 +1,4 @@
-// Which revision of the configuration is in force on one entry.
+// Tests of the configuration in force on one entry.
 #include <gtest/gtest.h>
 
 #include <cstring>
@@ -93,7 +93,7 @@
 	}
 
 	static bool
-	tell(const struct conf *from, struct conf *to)
+	send_changes(const struct conf *from, struct conf *to)
 	{
 		struct conf_delta e;
 		bool full;
@@ -157,9 +157,9 @@
 }
 
 /*
- * The caller sees team a's quota of revision 3 go on.  A newer entry writes
- * a schema that this one can't read; this entry names the record and keeps
- * the older one; a good record after it takes its place.
+ * A newer entry writes a record with a schema that this one cannot read.  This
+ * entry reports the record and keeps team a's quota of revision 3 in force; a
+ * later valid record replaces it.
  */
 TEST_F(Conf, ABadRecordLeavesTheOlderOneInForce)
 {
@@ -175,7 +175,7 @@
 	EXPECT_STREQ(item->fault.field, "schema");
 	snapshot(conf, { { A, 5, R"({"schema":9,"name":"a"})" } }, 6);
 	EXPECT_EQ(tasks(conf, "a"), 3);
-	EXPECT_TRUE(tell(conf, peer));
+	EXPECT_TRUE(send_changes(conf, peer));
 	EXPECT_EQ(tasks(peer, "a"), 3);
 	EXPECT_EQ(conf_get(peer, A)->bad_revision, 5);
 	EXPECT_EQ(apply(conf, { A, 7, team("b", 1) }), CONF_BAD_RECORD);
@@ -190,9 +190,9 @@
 }
 
 /*
- * A deleted team doesn't come back.  More deletions happen than are
- * remembered, then an event from before the deletion comes late, and a peer
- * that was away still has the team.
+ * A deleted team must not reappear.  More deletions happen than tombstones are
+ * kept, then an event from before the deletion arrives late, and a peer that
+ * was unreachable still has the team.
  */
 TEST_F(Conf, ForgottenDeletionsStayDeleted)
 {
@@ -200,7 +200,7 @@
 	int i;
 
 	snapshot(conf, { { A, 1, team("a", 1) } }, 1);
-	tell(conf, peer);
+	send_changes(conf, peer);
 	EXPECT_EQ(tasks(peer, "a"), 1);
 	apply(conf, { A, 2, "" });
 	conf_advance(conf, 1, 2);
@@ -209,19 +209,19 @@
 		apply(conf, { key, i, "" });
 		conf_advance(conf, i - 1, i);
 	}
-	EXPECT_EQ(conf_get(conf, A), nullptr) << "the tombstone is forgotten";
+	EXPECT_EQ(conf_get(conf, A), nullptr) << "the tombstone is dropped";
 	EXPECT_EQ(apply(conf, { A, 1, team("a", 1) }), CONF_STALE);
 	EXPECT_EQ(tasks(conf, "a"), -7);
-	EXPECT_TRUE(tell(conf, peer)) << "told in full";
+	EXPECT_TRUE(send_changes(conf, peer)) << "all records are sent";
 	EXPECT_EQ(tasks(peer, "a"), -7);
 	EXPECT_EQ(conf_revision(peer), 7);
-	EXPECT_FALSE(tell(conf, peer));
+	EXPECT_FALSE(send_changes(conf, peer));
 }
 
 /*
- * A deleted team doesn't come back.  It was deleted, made anew and deleted
- * again; this entry saw only the first deletion, then a snapshot without the
- * team, then the event of the second making comes late.
+ * A deleted team must not reappear.  It was deleted, created again and deleted
+ * again; this entry saw only the first deletion and then a snapshot without the
+ * team, and the event of the second creation arrives late.
  */
 TEST_F(Conf, ASnapshotRenewsAnOlderDeletion)
 {
@@ -232,15 +232,15 @@
 }
 
 /*
- * A peer doesn't keep a deleted team.  The entry that tells it learnt its own
- * state from a snapshot after the deletion, so it never saw the team and has
- * no deletion to tell; it must tell everything instead.
+ * A peer must not keep a deleted team.  The entry that sends it changes got its
+ * own state from a snapshot after the deletion, so it never saw the team and
+ * has no tombstone to send; it must send all records instead.
  */
-TEST_F(Conf, AfterASnapshotAnEntryTellsEverything)
+TEST_F(Conf, AfterASnapshotAnEntrySendsAllRecords)
 {
 	snapshot(peer, { { A, 1, team("a", 1) } }, 2);
 	snapshot(conf, {}, 3);
-	EXPECT_TRUE(tell(conf, peer));
+	EXPECT_TRUE(send_changes(conf, peer));
 	EXPECT_EQ(tasks(peer, "a"), -7);
 }
 
--- a/tests/test_conf_model.cc
+++ b/tests/test_conf_model.cc
@@ -1,6 +1,6 @@
-// Every order of events, to a stated depth, for a store, two entries and two
-// operators.  Outages of the store need no events of their own: they are the
-// orders in which nothing of the store happens for a while.
+// Explores every order of events, up to a given depth, of a store, two entries
+// and two operators.  Outages of the store need no events of their own: they
+// are the orders in which no event of the store occurs for a while.
 #include <gtest/gtest.h>
 #include <xxhash.h>
 
@@ -17,15 +17,15 @@
 
 namespace {
 
-// Deliberate faults of the driver; the checks must find each one.
+// Faults injected by the driver; the checks must find each one.
 enum fault {
 	NONE,
-	REVISION_CHECK_REMOVED, // a late event counts as the newest
-	TOMBSTONE_DROPPED, // peers aren't told of deletions
-	SNAPSHOT_BLIND, // a snapshot replaces all that is known
-	CAS_WITHOUT_REVISION, // a write ignores what the operator saw
-	GAP_IGNORED, // a resumed watch counts as if it had missed nothing
-	PEER_RECORDS_LOST, // a peer's revision is taken without its records
+	REVISION_CHECK_REMOVED, // a late event is applied as the newest
+	TOMBSTONE_DROPPED, // deletions are not sent to peers
+	SNAPSHOT_UNCHECKED, // a snapshot replaces the whole state
+	CAS_WITHOUT_REVISION, // a write ignores the revision the operator read
+	GAP_IGNORED, // a resumed watch is treated as complete
+	PEER_RECORDS_LOST, // a peer's revision is applied without its records
 };
 
 enum action {
@@ -36,14 +36,14 @@
 	DELETE_A,
 	DELETE_B,
 	COMPACT,
-	RANGE, // the store answers a range; per entry from here on
-	RANGED, // the answer arrives
+	RANGE, // the store answers a range read; from here on per entry
+	RANGE_RECEIVED, // that answer arrives
 	EVENT, // the watch's next event arrives
-	LATE, // the oldest event arrives once more
-	EARLY, // the newest event arrives ahead of the others
-	SKIP, // the watch is resumed one event too late
-	ASK, // the other entry answers what this one lacks
-	TOLD, // that answer arrives
+	REPEAT_OLDEST, // the oldest event arrives again
+	NEWEST_FIRST, // the newest event arrives before the others
+	SKIP_EVENT, // the watch is resumed one event too late
+	PEER_EXPORT, // the other entry exports what this one lacks
+	PEER_IMPORT, // that answer arrives
 	RESTART,
 	NACTIONS
 };
@@ -55,7 +55,7 @@
 struct change {
 	int key;
 	int64_t revision;
-	int serial; // names the value; 0: deleted
+	int serial; // identifies the value; 0: deleted
 	std::string text;
 };
 
@@ -69,29 +69,29 @@
 	struct conf *conf;
 	bool watching;
 	int64_t from, cursor; // of the watch
-	struct delta range, told;
-	int64_t revision, shown[2]; // the highest since the start
+	struct delta range, peer_delta;
+	int64_t revision, shown_revision[2]; // highest values since the start
 };
 
-class World {
+class Cluster {
       public:
-	explicit World(enum fault f) : fault(f)
+	explicit Cluster(enum fault f) : fault(f)
 	{
 		write(0, 0);
 		write(1, 0);
 		for (int e = 0; e < 2; e++) {
 			start(e);
 			do_range(e);
-			do_ranged(e);
+			do_range_received(e);
 		}
 	}
-	~World()
+	~Cluster()
 	{
 		conf_close(nodes[0].conf);
 		conf_close(nodes[1].conf);
 	}
-	World(const World &) = delete;
-	World &operator=(const World &) = delete;
+	Cluster(const Cluster &) = delete;
+	Cluster &operator=(const Cluster &) = delete;
 
 	bool
 	enabled(int step) const
@@ -101,7 +101,7 @@
 		switch (action_of(step)) {
 		case WRITE_0:
 		case WRITE_1:
-			return seen[step - WRITE_0] >= 0;
+			return read_revision[step - WRITE_0] >= 0;
 		case DELETE_A:
 		case DELETE_B:
 			return at(step - DELETE_A, head()).serial != 0;
@@ -109,15 +109,15 @@
 			return compacted < head();
 		case RANGE:
 			return !n.range.waiting;
-		case RANGED:
+		case RANGE_RECEIVED:
 			return n.range.waiting;
 		case EVENT:
-		case SKIP:
+		case SKIP_EVENT:
 			return can_watch(n);
-		case ASK:
-			return !n.told.waiting;
-		case TOLD:
-			return n.told.waiting;
+		case PEER_EXPORT:
+			return !n.peer_delta.waiting;
+		case PEER_IMPORT:
+			return n.peer_delta.waiting;
 		default:
 			return true;
 		}
@@ -148,27 +148,27 @@
 		case RANGE:
 			do_range(e);
 			break;
-		case RANGED:
-			do_ranged(e);
+		case RANGE_RECEIVED:
+			do_range_received(e);
 			break;
 		case EVENT:
 			do_event(e);
 			break;
-		case LATE:
-			give(e, store.front());
+		case REPEAT_OLDEST:
+			apply_change(e, store.front());
 			break;
-		case EARLY:
-			give(e, store.back());
+		case NEWEST_FIRST:
+			apply_change(e, store.back());
 			break;
-		case SKIP:
+		case SKIP_EVENT:
 			nodes[e].cursor++;
 			nodes[e].from = nodes[e].cursor;
 			break;
-		case ASK:
-			do_ask(e);
+		case PEER_EXPORT:
+			do_peer_export(e);
 			break;
-		case TOLD:
-			do_told(e);
+		case PEER_IMPORT:
+			do_peer_import(e);
 			break;
 		case RESTART:
 			start(e);
@@ -179,22 +179,22 @@
 		check();
 	}
 
-	// The store answers, everything that is under way arrives.
+	// Let the store answer and deliver everything in flight.
 	void
 	finish()
 	{
 		for (int e = 0; e < 2; e++) {
 			if (nodes[e].range.waiting)
-				do_ranged(e);
-			if (nodes[e].told.waiting)
-				do_told(e);
+				do_range_received(e);
+			if (nodes[e].peer_delta.waiting)
+				do_peer_import(e);
 			while (can_watch(nodes[e]))
 				do_event(e);
 			if (!conf_advance(nodes[e].conf, nodes[e].from,
 				nodes[e].cursor) ||
 			    !nodes[e].watching || nodes[e].cursor < head()) {
 				do_range(e);
-				do_ranged(e);
+				do_range_received(e);
 			}
 			check();
 			for (int k = 0; k < 2; k++) {
@@ -214,7 +214,7 @@
 
 		for (const auto &c : store)
 			add(&s, { c.key, c.serial });
-		add(&s, { compacted, seen[0], seen[1] });
+		add(&s, { compacted, read_revision[0], read_revision[1] });
 		for (const auto &n : nodes)
 			add_node(&s, n);
 		return XXH3_128bits(s.data(), s.size());
@@ -224,11 +224,11 @@
 
       private:
 	enum fault fault;
-	std::vector<struct change> store; // one change a revision, from 1
+	std::vector<struct change> store; // one change per revision, from 1
 	std::set<int> refused;
 	int serials = 0;
 	int64_t compacted = 0;
-	int64_t seen[2] = { -1, -1 }; // what each operator read of key a
+	int64_t read_revision[2] = { -1, -1 }; // of key a, per operator
 	struct node nodes[2] = {};
 
 	static int
@@ -264,8 +264,9 @@
 		struct conf_delta probe;
 
 		add(s,
-		    { n.watching, n.from, n.cursor, n.shown[0], n.shown[1],
-			n.revision, conf_revision(n.conf) });
+		    { n.watching, n.from, n.cursor, n.shown_revision[0],
+			n.shown_revision[1], n.revision,
+			conf_revision(n.conf) });
 		for (const char *key : KEYS) {
 			item = conf_get(n.conf, key);
 			if (item == nullptr)
@@ -275,14 +276,14 @@
 				item->present ? item->record.as.team.tasks :
 						0 });
 		}
-		// Where the answers to peers change from parts to all.
+		// The revisions at which exports change from partial to full.
 		for (int64_t since = 0; since < 8; since++) {
 			conf_export(n.conf, since, &probe);
 			s->push_back((char)probe.full);
 			conf_delta_free(&probe);
 		}
 		add_delta(s, n.range);
-		add_delta(s, n.told);
+		add_delta(s, n.peer_delta);
 	}
 
 	int64_t
@@ -328,7 +329,7 @@
 		const struct conf_item *item;
 
 		item = conf_get(nodes[who].conf, KEYS[0]);
-		seen[who] =
+		read_revision[who] =
 		    item != nullptr && item->present ? item->revision : 0;
 	}
 	void
@@ -336,19 +337,20 @@
 	{
 		struct change now = at(0, head());
 		int64_t revision = now.serial == 0 ? 0 : now.revision;
-		int64_t compare = seen[who];
+		int64_t compare = read_revision[who];
 
 		if (fault == CAS_WITHOUT_REVISION)
 			compare = revision;
 		if (compare != revision) {
 			refused.insert(++serials);
-			seen[who] = -1;
+			read_revision[who] = -1;
 			return;
 		}
-		if (seen[who] != revision)
-			fail("a change the operator hadn't seen is replaced");
+		if (read_revision[who] != revision)
+			fail("a write replaced a change that the operator "
+			     "hadn't read");
 		write(0, revision);
-		seen[who] = -1;
+		read_revision[who] = -1;
 	}
 
 	void
@@ -369,7 +371,7 @@
 			c.text.size() };
 	}
 	void
-	give(int e, const struct change &c)
+	apply_change(int e, const struct change &c)
 	{
 		const struct conf_item *item =
 		    conf_get(nodes[e].conf, KEYS[c.key]);
@@ -392,12 +394,12 @@
 		nodes[e].range = d;
 	}
 	void
-	do_ranged(int e)
+	do_range_received(int e)
 	{
 		struct delta d = nodes[e].range;
 		struct conf_options o = {};
 
-		if (fault == SNAPSHOT_BLIND) {
+		if (fault == SNAPSHOT_UNCHECKED) {
 			conf_close(nodes[e].conf);
 			nodes[e].conf = conf_open(&o);
 		}
@@ -412,14 +414,14 @@
 		struct node &n = nodes[e];
 		const struct change &c = store[(size_t)n.cursor];
 
-		give(e, c);
+		apply_change(e, c);
 		n.cursor = c.revision;
 		if (!conf_advance(
 			n.conf, fault == GAP_IGNORED ? 0 : n.from, n.cursor))
 			n.watching = false;
 	}
 	void
-	do_ask(int e)
+	do_peer_export(int e)
 	{
 		struct delta d = { true, false, 0, 0, {} };
 		struct conf_delta out;
@@ -441,15 +443,15 @@
 					 std::string() });
 		}
 		conf_delta_free(&out);
-		nodes[e].told = d;
+		nodes[e].peer_delta = d;
 	}
 	void
-	do_told(int e)
+	do_peer_import(int e)
 	{
-		struct delta d = nodes[e].told;
+		struct delta d = nodes[e].peer_delta;
 		int64_t before = conf_revision(nodes[e].conf);
 
-		nodes[e].told = {};
+		nodes[e].peer_delta = {};
 		if (fault == PEER_RECORDS_LOST) {
 			d.full = false;
 			d.changes.clear();
@@ -457,7 +459,8 @@
 		import(e, d);
 		if ((d.full || d.since <= before) &&
 		    conf_revision(nodes[e].conf) < d.revision)
-			fail("an entry stays below a live peer it heard");
+			fail("an entry stays below the revision of a peer's "
+			     "answer");
 	}
 	void
 	import(int e, const struct delta &d)
@@ -482,9 +485,10 @@
 			return 0;
 		return (int)item->record.as.team.tasks;
 	}
-	// The store's own revision of what is in force, not the one claimed.
+	// The revision in the store of the value in force, regardless of the
+	// revision that the entry claims.
 	int64_t
-	shown_at(int e, int key)
+	revision_shown(int e, int key)
 	{
 		const struct conf_item *item;
 		int serial = serial_at(e, key);
@@ -500,7 +504,7 @@
 			if (c.serial == serial)
 				return c.revision;
 		}
-		fail("a value that nobody wrote is in force");
+		fail("a value that was never written is in force");
 		return 0;
 	}
 	bool
@@ -520,9 +524,10 @@
 			int64_t revision = conf_revision(n.conf);
 
 			if (revision < n.revision)
-				fail("the revision in force went back");
+				fail("the revision in force decreased");
 			if (revision > head())
-				fail("a revision that isn't there is in force");
+				fail("a revision that doesn't exist is in "
+				     "force");
 			n.revision = revision;
 			for (int k = 0; k < 2; k++)
 				check_key(e, k, revision);
@@ -531,13 +536,13 @@
 	void
 	check_key(int e, int k, int64_t revision)
 	{
-		int64_t shown = shown_at(e, k);
+		int64_t shown_revision = revision_shown(e, k);
 
-		if (shown < nodes[e].shown[k])
-			fail("a record went back");
-		nodes[e].shown[k] = shown;
-		if (shown < at(k, revision).revision)
-			fail("the revision in force isn't complete");
+		if (shown_revision < nodes[e].shown_revision[k])
+			fail("an older record replaced a newer one");
+		nodes[e].shown_revision[k] = shown_revision;
+		if (shown_revision < at(k, revision).revision)
+			fail("a record is older than the revision in force");
 		if (serial_at(e, k) == 0 && !absent_since(k, revision))
 			fail("a record is missing");
 	}
@@ -567,7 +572,7 @@
 
 	while (!queue.empty() && o.failure.empty()) {
 		std::string path = queue.front();
-		World world(fault);
+		Cluster world(fault);
 
 		queue.pop_front();
 		o.edges++;
@@ -598,7 +603,7 @@
 	return s;
 }
 
-// The sanitizers make it ten times slower.
+// The sanitizers make the search ten times slower.
 #ifdef __SANITIZE_ADDRESS__
 const size_t DEPTH = 5;
 #else
@@ -608,10 +613,10 @@
 } // namespace
 
 /*
- * Operators see each accepted change in force on both entries once the store
- * answers, and nothing ever goes back on a running entry, whatever comes
- * late, twice, out of order or not at all: events, snapshots, peers' answers,
- * compactions and restarts.
+ * Once the store answers, both entries have each accepted change in force.  No
+ * running entry ever returns to an older state, whatever arrives late, twice,
+ * out of order or not at all: events, snapshots, answers of peers, compactions
+ * and restarts.
  */
 TEST(ConfModel, EveryOrderKeepsTheOneOrder)
 {
@@ -630,11 +635,11 @@
 	} faults[] = {
 		{ REVISION_CHECK_REMOVED, "revision check removed" },
 		{ TOMBSTONE_DROPPED, "tombstone dropped" },
-		{ SNAPSHOT_BLIND, "snapshot applied blindly" },
+		{ SNAPSHOT_UNCHECKED, "snapshot replaces newer records" },
 		{ CAS_WITHOUT_REVISION, "CAS without the operator's revision" },
 		{ GAP_IGNORED, "gap of a resumed watch ignored" },
 		{ PEER_RECORDS_LOST,
-		    "peer's revision taken without its records" },
+		    "peer's revision applied without its records" },
 	};
 
 	for (const auto &f : faults) {
--- a/tests/test_credit_model.cc
+++ b/tests/test_credit_model.cc
@@ -1,14 +1,14 @@
-// Every interleaving, to the depth that is printed, of a few entries that
-// share one endpoint of two slots: calls, gifts of credits, lost, repeated and
-// reordered messages, takeovers with a fence, restarts, calls given up on.  A
-// paused owner is one whose next step comes late, so it is in here too.  After
-// each step the endpoint runs no more calls than it has slots, and credits
-// that could still be used, plus calls that could still arrive, fit in the
-// rest.
+// Explores every interleaving, up to the printed depth, of a few entries that
+// share one endpoint with two slots: calls, transfers of credits, lost,
+// repeated and reordered messages, takeovers with a fence, restarts, and
+// abandoned calls.  A paused owner is one whose next step comes late, so it is
+// covered too.  After each step the endpoint runs no more calls than it has
+// slots, and the running calls, the credits that could still be used and the
+// calls that could still arrive together do not exceed the slots.
 //
-// The states are explored breadth first with the book itself (core/credit),
-// by running the whole path again for each step.  Each break takes away one
-// safeguard; the same search must then find a violation.
+// The states are explored breadth first with the credit table itself
+// (core/credit), by replaying the whole path for each step.  Each break removes
+// one safeguard; the same search must then find a violation.
 #include <algorithm>
 #include <cstdio>
 #include <string>
@@ -24,7 +24,7 @@
 namespace {
 
 constexpr int kCapacity = 2;
-// With the sanitizers a step takes ten times as long.
+// The sanitizers make a step ten times slower.
 #ifdef __SANITIZE_ADDRESS__
 constexpr int kDepthTwo = 8, kDepthThree = 6;
 #else
@@ -35,13 +35,13 @@
 
 enum Break {
 	kNone,
-	kFenceSkipped, // the new owner mints the whole capacity at once
-	kLateGiveUp, // the message goes first, the credit is given up later
-	kDuplicateTaken, // a repeated message isn't recognised
-	kAbandonedReused, // the credit of a call given up on is used again
+	kFenceSkipped, // the new owner issues the whole capacity at once
+	kLateRemoval, // the credit is removed only after the message
+	kDuplicateAccepted, // a duplicate message is accepted
+	kAbandonedReused, // the credit of an abandoned call is reused
 	kOldEpochServed, // the endpoint runs calls of a lower epoch
-	kRestartMints, // a restarted owner mints at its old epoch
-	kAnyIncarnation // a message to a former incarnation is taken
+	kRestartIssues, // a restarted owner issues at its old epoch
+	kAnyIncarnation // a message to a former incarnation is accepted
 };
 
 enum Op : uint8_t {
@@ -49,8 +49,8 @@
 	kArrive,
 	kEnd,
 	kAbandon,
-	kGive,
-	kGiveUp,
+	kTransfer,
+	kRemove,
 	kDeliver,
 	kLose,
 	kRepeat,
@@ -71,7 +71,7 @@
 struct Call {
 	int entry;
 	uint64_t incarnation, epoch;
-	bool running, given_up;
+	bool running, abandoned;
 };
 
 enum Kind { kFence, kAnswer, kStatus, kCredits };
@@ -85,9 +85,9 @@
 	struct credit_transfer transfer;
 };
 
-class World {
+class Cluster {
       public:
-	World(const Limits &l, Break b) : limits(l), broken(b)
+	Cluster(const Limits &l, Break b) : limits(l), broken(b)
 	{
 		for (int e = 0; e < l.entries; e++)
 			Start(e, 1);
@@ -95,17 +95,17 @@
 		while (!net.empty()) // the fence and its answer
 			Do({ kDeliver, 0, 0 });
 	}
-	~World()
+	~Cluster()
 	{
-		for (auto *book : books)
-			credit_close(book);
+		for (auto *table : tables)
+			credit_close(table);
 	}
-	World(const World &) = delete;
-	World &operator=(const World &) = delete;
+	Cluster(const Cluster &) = delete;
+	Cluster &operator=(const Cluster &) = delete;
 
 	std::vector<Action> Actions() const;
 	void Do(Action);
-	bool Holds() const;
+	bool InvariantHolds() const;
 	std::string Encode() const;
 
       private:
@@ -114,57 +114,58 @@
 	{
 		struct credit_options o = { kNames[e], incarnation, nullptr,
 			nullptr };
-		books.resize(std::max<size_t>(books.size(), e + 1));
-		incarnations.resize(books.size());
-		debts.resize(books.size());
-		books[e] = credit_open(&o);
+		tables.resize(std::max<size_t>(tables.size(), e + 1));
+		incarnations.resize(tables.size());
+		unremoved.resize(tables.size());
+		tables[e] = credit_open(&o);
 		incarnations[e] = incarnation;
-		debts[e] = 0;
+		unremoved[e] = 0;
 	}
 	const struct credit_worker *
 	Row(int e) const
 	{
-		return credit_find(books[e], kWorker);
+		return credit_find(tables[e], kWorker);
 	}
 	int
 	Running(bool older_only) const
 	{
 		int n = 0;
 		for (auto &c : calls)
-			n += c.running && (!older_only || c.epoch < endpoint);
+			n += c.running &&
+			    (!older_only || c.epoch < endpoint_epoch);
 		return n;
 	}
 	void
-	Mint(int e, uint64_t at, int used)
+	Issue(int e, uint64_t at, int used)
 	{
-		credit_issue(books[e], kWorker, "r1", at,
+		credit_issue(tables[e], kWorker, "r1", at,
 		    { kCapacity, kCapacity }, { used, used });
 	}
 	void
 	Release(const Call &c, enum credit_end end)
 	{
-		if (c.incarnation == incarnations[c.entry] && !c.given_up)
-			credit_release(
-			    books[c.entry], kWorker, c.epoch, CREDIT_CALL, end);
+		if (c.incarnation == incarnations[c.entry] && !c.abandoned)
+			credit_release(tables[c.entry], kWorker, c.epoch,
+			    CREDIT_CALL, end);
 	}
 	void Arrive(int i);
-	void Give(int from, int to);
+	void Transfer(int from, int to);
 	void Deliver(Message &);
 	void Takeover(int e);
 
 	Limits limits;
 	Break broken;
-	std::vector<struct credit_table *> books;
+	std::vector<struct credit_table *> tables;
 	std::vector<uint64_t> incarnations;
-	std::vector<int> debts; // given up later than sent (kLateGiveUp)
+	std::vector<int> unremoved; // sent credits, for kLateRemoval
 	std::vector<Call> calls;
 	std::vector<Message> net;
-	uint64_t endpoint = 0, epoch = 0, sequence = 0;
+	uint64_t endpoint_epoch = 0, epoch = 0, sequence = 0;
 	int owner = 0, repeats = 0, restarts = 0;
 };
 
 std::vector<Action>
-World::Actions() const
+Cluster::Actions() const
 {
 	std::vector<Action> out;
 	uint8_t n = limits.entries;
@@ -176,20 +177,20 @@
 			out.push_back({ kTake, e, 0 });
 		for (uint8_t f = 0; f < n && spare; f++) {
 			if (f != e)
-				out.push_back({ kGive, e, f });
+				out.push_back({ kTransfer, e, f });
 		}
-		if (debts[e] > 0)
-			out.push_back({ kGiveUp, e, 0 });
+		if (unremoved[e] > 0)
+			out.push_back({ kRemove, e, 0 });
 		if ((int)epoch < limits.epochs)
 			out.push_back({ kTakeover, e, 0 });
 		if (restarts < limits.restarts)
 			out.push_back({ kRestart, e, 0 });
 	}
-	if (endpoint == epoch)
+	if (endpoint_epoch == epoch)
 		out.push_back({ kReport, 0, 0 });
 	for (uint8_t i = 0; i < calls.size(); i++) {
 		out.push_back({ calls[i].running ? kEnd : kArrive, i, 0 });
-		if (!calls[i].given_up)
+		if (!calls[i].abandoned)
 			out.push_back({ kAbandon, i, 0 });
 	}
 	for (uint8_t i = 0; i < net.size(); i++) {
@@ -202,82 +203,82 @@
 }
 
 void
-World::Arrive(int i)
+Cluster::Arrive(int i)
 {
 	Call &c = calls[i];
 
-	if (c.epoch < endpoint && broken != kOldEpochServed) {
+	if (c.epoch < endpoint_epoch && broken != kOldEpochServed) {
 		Release(c, CREDIT_ENDED); // refused as not run
 		if (c.incarnation == incarnations[c.entry])
-			credit_fenced(books[c.entry], kWorker, c.epoch + 1);
+			credit_fenced(tables[c.entry], kWorker, c.epoch + 1);
 		calls.erase(calls.begin() + i);
 		return;
 	}
-	endpoint = std::max(endpoint, c.epoch);
+	endpoint_epoch = std::max(endpoint_epoch, c.epoch);
 	c.running = true;
 }
 
 void
-World::Give(int from, int to)
+Cluster::Transfer(int from, int to)
 {
 	Message m = { kCredits, from, to, incarnations[from], incarnations[to],
 		++sequence, 0, 0, 0, false, {} };
 
 	struct credit_peer peer = { kNames[to], incarnations[to] };
 
-	credit_give(books[from], kWorker, &peer, { 1, 1 }, &m.transfer);
+	credit_give(tables[from], kWorker, &peer, { 1, 1 }, &m.transfer);
 	m.epoch = m.transfer.epoch;
 	net.push_back(m);
-	if (broken == kLateGiveUp) {
-		credit_give_cancel(books[from], kNames[to], &m.transfer);
-		debts[from]++;
+	if (broken == kLateRemoval) {
+		credit_give_cancel(tables[from], kNames[to], &m.transfer);
+		unremoved[from]++;
 	}
 }
 
 void
-World::Deliver(Message &m)
+Cluster::Deliver(Message &m)
 {
 	struct credit_origin origin = { kNames[m.from], m.from_incarnation,
 		m.sequence, m.to_incarnation };
 	size_t stale;
 
-	if (m.kind == kFence && m.epoch >= endpoint) {
-		endpoint = m.epoch;
+	if (m.kind == kFence && m.epoch >= endpoint_epoch) {
+		endpoint_epoch = m.epoch;
 		net.push_back({ kAnswer, 0, m.to, 0, m.to_incarnation, 0,
-		    endpoint, Running(false), 0, false, {} });
+		    endpoint_epoch, Running(false), 0, false, {} });
 	} else if (m.kind == kAnswer &&
 	    m.to_incarnation == incarnations[m.to]) {
-		Mint(m.to, m.epoch, m.used);
+		Issue(m.to, m.epoch, m.used);
 	} else if (m.kind == kStatus &&
 	    m.to_incarnation == incarnations[m.to]) {
 		struct credit_usage usage = { { m.used, m.used }, m.older >= 0,
 			{ m.older, m.older } };
-		credit_report(books[m.to], kWorker, m.epoch, &usage);
+		credit_report(tables[m.to], kWorker, m.epoch, &usage);
 	} else if (m.kind == kCredits) {
-		if (broken == kDuplicateTaken)
+		if (broken == kDuplicateAccepted)
 			origin.sequence = ++sequence;
 		if (broken == kAnyIncarnation)
 			origin.to_incarnation = incarnations[m.to];
-		credit_receive(books[m.to], &origin, &m.transfer, 1, &stale);
+		credit_receive(tables[m.to], &origin, &m.transfer, 1, &stale);
 	}
 }
 
 void
-World::Takeover(int e)
+Cluster::Takeover(int e)
 {
-	bool same = broken == kRestartMints && owner == e && restarts > 0;
+	bool same = broken == kRestartIssues && owner == e && restarts > 0;
 
 	epoch += same ? 0 : 1;
 	owner = e;
 	if (broken == kFenceSkipped)
-		Mint(e, epoch, 0);
+		Issue(e, epoch, 0);
 	else
 		net.push_back({ kFence, e, e, 0, incarnations[e], 0, epoch, 0,
 		    0, false, {} });
 }
 
 void
-World::Do(Action x)
+Cluster::Do(Action x)
 {
 	const struct credit_peer gone = { "gone", 1 };
 	struct credit_transfer dropped;
@@ -285,7 +286,7 @@
 
 	switch (x.op) {
 	case kTake:
-		if (credit_take(books[x.a], kWorker, CREDIT_CALL, &at) ==
+		if (credit_take(tables[x.a], kWorker, CREDIT_CALL, &at) ==
 		    CREDIT_OK)
 			calls.push_back(
 			    { x.a, incarnations[x.a], at, false, false });
@@ -301,14 +302,14 @@
 		Release(calls[x.a],
 		    broken == kAbandonedReused ? CREDIT_ENDED :
 						 CREDIT_ABANDONED);
-		calls[x.a].given_up = true;
+		calls[x.a].abandoned = true;
 		break;
-	case kGive:
-		Give(x.a, x.b);
+	case kTransfer:
+		Transfer(x.a, x.b);
 		break;
-	case kGiveUp:
-		credit_give(books[x.a], kWorker, &gone, { 1, 1 }, &dropped);
-		debts[x.a]--;
+	case kRemove:
+		credit_give(tables[x.a], kWorker, &gone, { 1, 1 }, &dropped);
+		unremoved[x.a]--;
 		break;
 	case kDeliver: {
 		Message m = net[x.a];
@@ -322,20 +323,20 @@
 	case kRepeat: {
 		Message m = net[x.a];
 		repeats++;
-		net[x.a].delivered = true; // the copy left is the second one
+		net[x.a].delivered = true; // the remaining copy is a duplicate
 		Deliver(m);
 		break;
 	}
 	case kTakeover:
 		Takeover(x.a);
 		break;
-	case kReport: // alternately with and without the older calls apart
+	case kReport: // in alternate epochs with the older calls listed
 		net.push_back({ kStatus, 0, owner, 0, incarnations[owner], 0,
-		    endpoint, Running(false), epoch % 2 ? Running(true) : -1,
-		    false, {} });
+		    endpoint_epoch, Running(false),
+		    epoch % 2 ? Running(true) : -1, false, {} });
 		break;
 	case kRestart:
-		credit_close(books[x.a]);
+		credit_close(tables[x.a]);
 		Start(x.a, incarnations[x.a] + 1);
 		restarts++;
 		break;
@@ -343,26 +344,26 @@
 }
 
 bool
-World::Holds() const
+Cluster::InvariantHolds() const
 {
 	int running = Running(false);
 	int usable = running;
 
 	for (int e = 0; e < limits.entries; e++) {
 		const struct credit_worker *row = Row(e);
-		if (row != nullptr && row->epoch == endpoint)
+		if (row != nullptr && row->epoch == endpoint_epoch)
 			usable += row->spare.slots;
 	}
 	for (auto &c : calls)
-		usable += !c.running && c.epoch == endpoint;
+		usable += !c.running && c.epoch == endpoint_epoch;
 	for (auto &m : net)
-		usable += m.kind == kCredits && m.epoch == endpoint &&
+		usable += m.kind == kCredits && m.epoch == endpoint_epoch &&
 		    !m.delivered && m.to_incarnation == incarnations[m.to];
 	return running <= kCapacity && usable <= kCapacity;
 }
 
 std::string
-World::Encode() const
+Cluster::Encode() const
 {
 	std::vector<std::string> parts;
 	std::string s;
@@ -370,7 +371,7 @@
 
 	for (auto &c : calls) {
 		parts.push_back({ 'c', (char)c.entry, (char)c.incarnation,
-		    (char)c.epoch, (char)c.running, (char)c.given_up });
+		    (char)c.epoch, (char)c.running, (char)c.abandoned });
 	}
 	for (auto &m : net) {
 		parts.push_back({ 'm', (char)m.kind, (char)m.from, (char)m.to,
@@ -383,7 +384,7 @@
 		s += p;
 	for (int e = 0; e < limits.entries; e++) {
 		const struct credit_worker *r = Row(e);
-		add(incarnations[e]), add(debts[e]), add(r != nullptr);
+		add(incarnations[e]), add(unremoved[e]), add(r != nullptr);
 		if (r == nullptr)
 			continue;
 		add(r->epoch), add(r->issued), add(r->fenced),
@@ -391,7 +392,8 @@
 		add(r->busy.slots), add(r->older.slots),
 		    add(r->used_at_fence.slots);
 	}
-	add(endpoint), add(epoch), add(owner), add(repeats), add(restarts);
+	add(endpoint_epoch), add(epoch), add(owner), add(repeats),
+	    add(restarts);
 	return s;
 }
 
@@ -406,16 +408,16 @@
 	for (int depth = 1; depth <= limits.depth; depth++) {
 		next.clear();
 		for (auto &path : level) {
-			World before(limits, broken);
+			Cluster before(limits, broken);
 			for (auto x : path)
 				before.Do(x);
 			for (auto x : before.Actions()) {
-				World w(limits, broken);
+				Cluster w(limits, broken);
 				for (auto y : path)
 					w.Do(y);
 				w.Do(x);
 				steps++;
-				if (!w.Holds()) {
+				if (!w.InvariantHolds()) {
 					printf("%s: violated at depth %d\n",
 					    name, depth);
 					return depth;
@@ -454,12 +456,12 @@
 		Break broken;
 	} cases[] = {
 		{ "fence skipped", kFenceSkipped },
-		{ "given up after sending", kLateGiveUp },
-		{ "duplicate accepted", kDuplicateTaken },
-		{ "abandoned credit used again", kAbandonedReused },
+		{ "credit removed after sending", kLateRemoval },
+		{ "duplicate accepted", kDuplicateAccepted },
+		{ "abandoned credit reused", kAbandonedReused },
 		{ "endpoint serves old epochs", kOldEpochServed },
-		{ "restarted owner mints again", kRestartMints },
-		{ "message to a former incarnation taken", kAnyIncarnation },
+		{ "restarted owner issues again", kRestartIssues },
+		{ "message to a former incarnation accepted", kAnyIncarnation },
 	};
 
 	for (auto &c : cases)
--- a/tests/test_elect.cc
+++ b/tests/test_elect.cc
@@ -13,7 +13,8 @@
 	void
 	SetUp() override
 	{
-		actions = { OnAsk, OnRead, OnTake, OnChanged };
+		actions = { OnRequestVotes, OnReadRecord, OnWriteRecord,
+			OnChanged };
 		memset(&options, 0, sizeof(options));
 		options.self = "me";
 		options.address = "127.0.0.1:1";
@@ -39,7 +40,7 @@
 		return r;
 	}
 
-	// Follow "other" in term 3, with so many members besides.
+	// Follow "other" in term 3, with the given number of members.
 	void
 	Follow(uint32_t members, uint32_t rank = 0)
 	{
@@ -47,12 +48,12 @@
 
 		elect_tick(&e, now);
 		elect_read(&e, &r, now);
-		Beat(members, true, rank);
-		asks = reads = takes = 0;
+		Heartbeat(members, true, rank);
+		vote_requests = reads = writes = 0;
 	}
 
 	void
-	Beat(uint32_t members, bool store, uint32_t rank = 0)
+	Heartbeat(uint32_t members, bool store, uint32_t rank = 0)
 	{
 		struct elect_leader l = Record("other", 3, 30, 0).leader;
 
@@ -60,7 +61,7 @@
 	}
 
 	void
-	Pass(int64_t ms)
+	Advance(int64_t ms)
 	{
 		for (int64_t end = now + ms; now < end;) {
 			now += 20;
@@ -68,9 +69,10 @@
 		}
 	}
 
-	// Reads under way give the record, or fail; all members agree.
+	// Answer reads in flight with the record, or fail them if it is null;
+	// all members grant their votes.
 	void
-	AnswerAsks(const struct elect_record *record)
+	AnswerRequests(const struct elect_record *record)
 	{
 		if (reads > reads_answered) {
 			reads_answered = reads;
@@ -81,14 +83,16 @@
 		elect_tick(&e, now);
 	}
 
-	// The leader beats on and says that it has lost the store.
+	// The leader keeps sending heartbeats, which report that it has lost
+	// the store.
 	void
-	BeatWithoutStore(int64_t for_ms, const struct elect_record *record)
+	HeartbeatsWithoutStore(
+	    int64_t for_ms, const struct elect_record *record)
 	{
-		for (int64_t past = 0; past < for_ms; past += kBeat) {
-			Beat(3, false, 2);
-			Pass(kBeat);
-			AnswerAsks(record);
+		for (int64_t past = 0; past < for_ms; past += kHeartbeatMs) {
+			Heartbeat(3, false, 2);
+			Advance(kHeartbeatMs);
+			AnswerRequests(record);
 		}
 	}
 
@@ -98,19 +102,20 @@
 		return static_cast<Elect *>(ctx);
 	}
 	static void
-	OnAsk(struct elect *, void *ctx)
+	OnRequestVotes(struct elect *, void *ctx)
 	{
-		Self(ctx)->asks++;
+		Self(ctx)->vote_requests++;
 	}
 	static void
-	OnRead(struct elect *, void *ctx)
+	OnReadRecord(struct elect *, void *ctx)
 	{
 		Self(ctx)->reads++;
 	}
 	static void
-	OnTake(struct elect *, uint64_t next, int64_t replaced, void *ctx)
+	OnWriteRecord(
+	    struct elect *, uint64_t next, int64_t replaced, void *ctx)
 	{
-		Self(ctx)->takes++;
+		Self(ctx)->writes++;
 		Self(ctx)->term = next;
 		Self(ctx)->revision = replaced;
 	}
@@ -119,13 +124,13 @@
 	{
 	}
 
-	static constexpr int64_t kBeat = 150;
+	static constexpr int64_t kHeartbeatMs = 150;
 	struct elect_actions actions;
 	struct elect_options options;
 	struct elect e;
 	int64_t now = 50000, revision = -1;
 	uint64_t term = 0;
-	int asks = 0, reads = 0, takes = 0, reads_answered = 0;
+	int vote_requests = 0, reads = 0, writes = 0, reads_answered = 0;
 };
 
 } // namespace
@@ -138,8 +143,8 @@
 	elect_tick(&e, now);
 	EXPECT_EQ(reads, 1);
 	elect_read(&e, &none, now);
-	Pass(20);
-	EXPECT_EQ(takes, 1);
+	Advance(20);
+	EXPECT_EQ(writes, 1);
 	EXPECT_EQ(term, 1u);
 	EXPECT_EQ(revision, 0);
 	elect_write_done(&e, ELECT_WRITE_DONE, 40, now);
@@ -147,46 +152,47 @@
 	EXPECT_EQ(e.leader.revision, 40);
 }
 
-TEST_F(Elect, ALeaderThatBeatsIsLeftAlone)
+TEST_F(Elect, ALeaderThatSendsHeartbeatsIsNotReplaced)
 {
 	Follow(7);
 	for (int i = 0; i < 100; i++) {
-		Pass(140);
-		Beat(7, true);
+		Advance(140);
+		Heartbeat(7, true);
 	}
-	EXPECT_EQ(asks, 0);
-	EXPECT_EQ(takes, 0);
+	EXPECT_EQ(vote_requests, 0);
+	EXPECT_EQ(writes, 0);
 }
 
-// The leader is killed: its members hear nothing, most of them say so, and
-// the first in the order takes over within a second.
+// The leader is killed.  More than half of the members miss its heartbeats, and
+// the first in the order of succession takes over within a second.
 TEST_F(Elect, SilenceHeardByMostEndsATerm)
 {
 	struct elect_record r = Record("other", 3, 30, 300);
 	int64_t begin = now;
 
 	Follow(7);
-	Pass(700);
-	ASSERT_EQ(asks, 1);
+	Advance(700);
+	ASSERT_EQ(vote_requests, 1);
 	for (int i = 0; i < 4; i++)
 		elect_vote(&e, 3, true, false);
 	elect_read(&e, &r, now);
-	Pass(40);
-	EXPECT_EQ(takes, 1);
+	Advance(40);
+	EXPECT_EQ(writes, 1);
 	EXPECT_EQ(term, 4u);
 	EXPECT_EQ(revision, 30);
 	EXPECT_LT(now - begin, 1000);
 }
 
-// This entry is cut off from the leader alone: the others deny, and the
-// leader's pulse in the store goes on.  It must not depose it.
-TEST_F(Elect, OneThatIsCutOffDeposesNobody)
+// This entry is partitioned from the leader alone: the others deny their votes,
+// and the heartbeat key in the store keeps changing.  It must not depose the
+// leader.
+TEST_F(Elect, APartitionedMemberDeposesNobody)
 {
 	int64_t pulse = 300;
 
 	Follow(7);
 	for (int i = 0; i < 200; i++) {
-		Pass(60);
+		Advance(60);
 		if (e.role != ELECT_PRECANDIDATE)
 			continue;
 		struct elect_record r = Record("other", 3, 30, pulse++);
@@ -194,79 +200,81 @@
 		if (i % 2 == 0)
 			elect_vote(&e, 3, false, false);
 	}
-	EXPECT_GT(asks, 5);
-	EXPECT_EQ(takes, 0);
+	EXPECT_GT(vote_requests, 5);
+	EXPECT_EQ(writes, 0);
 }
 
-// Most members died with the leader, so nobody can agree: the pulse that
-// stands still is enough.
-TEST_F(Elect, APulseThatStandsStillEndsATerm)
+// Most members died with the leader, so there are no votes to grant: a
+// heartbeat key that has stopped changing is sufficient.
+TEST_F(Elect, AHeartbeatKeyThatStopsChangingEndsATerm)
 {
 	int64_t begin = now;
 
 	Follow(7);
-	while (takes == 0 && now < begin + 10000) {
-		Pass(60);
+	while (writes == 0 && now < begin + 10000) {
+		Advance(60);
 		if (e.role == ELECT_PRECANDIDATE) {
 			struct elect_record r = Record("other", 3, 30, 300);
 			elect_read(&e, &r, now);
 		}
 	}
-	EXPECT_EQ(takes, 1);
+	EXPECT_EQ(writes, 1);
 	EXPECT_LT(now - begin, 3500);
 }
 
-// The leader lost the store but beats on.  A member that reaches the store
-// and whose peers heard the same takes over, so that ends can be saved.
+// The leader has lost the store but keeps sending heartbeats.  A member that
+// reaches the store, and whose peers heard the same, takes over, so that ends
+// of tasks can be saved.
 TEST_F(Elect, ALeaderWithoutTheStoreIsReplaced)
 {
 	struct elect_record r = Record("other", 3, 30, 300);
 
 	Follow(7);
-	for (int i = 0; i < 5 && asks == 0; i++) {
-		Pass(140);
-		Beat(7, false);
+	for (int i = 0; i < 5 && vote_requests == 0; i++) {
+		Advance(140);
+		Heartbeat(7, false);
 	}
-	ASSERT_EQ(asks, 1);
+	ASSERT_EQ(vote_requests, 1);
 	elect_read(&e, &r, now);
 	for (int i = 0; i < 4; i++)
 		elect_vote(&e, 3, true, false);
-	Pass(40);
-	EXPECT_EQ(takes, 1);
+	Advance(40);
+	EXPECT_EQ(writes, 1);
 }
 
-// The store is down for all: no read succeeds, and the leader goes on.
+// The store is unavailable to all entries: no read succeeds, and the leader
+// stays.
 TEST_F(Elect, WithoutTheStoreNobodyTakesOver)
 {
 	Follow(7);
 	for (int i = 0; i < 50; i++) {
-		Pass(140);
-		Beat(7, false);
+		Advance(140);
+		Heartbeat(7, false);
 		if (e.role == ELECT_PRECANDIDATE) {
 			elect_vote(&e, 3, true, false);
 			elect_read(&e, nullptr, now);
 		}
 	}
-	EXPECT_GT(asks, 0);
-	EXPECT_EQ(takes, 0);
+	EXPECT_GT(vote_requests, 0);
+	EXPECT_EQ(writes, 0);
 }
 
-TEST_F(Elect, ItsOwnFormerLifeIsReplacedAtOnce)
+TEST_F(Elect, ItsOwnFormerIncarnationIsReplacedAtOnce)
 {
 	struct elect_record r = Record("me", 3, 30, 300);
 
 	elect_tick(&e, now);
 	elect_read(&e, &r, now);
-	Pass(40);
+	Advance(40);
 	elect_read(&e, &r, now);
-	Pass(40);
-	EXPECT_EQ(takes, 1);
+	Advance(40);
+	EXPECT_EQ(writes, 1);
 	EXPECT_EQ(term, 4u);
 }
 
-// The answer of a take is lost, but it was done: the record read back names
-// this life, which then leads that term.
-TEST_F(Elect, ATakeWithoutAnswerIsReadBack)
+// The write of the leader record takes effect but gets no answer.  The record
+// read back names this incarnation, which then leads a later term.
+TEST_F(Elect, AWriteWithoutAnswerIsReadBack)
 {
 	struct elect_record none, r = Record("me", 1, 40, 0);
 
@@ -274,15 +282,15 @@
 	r.leader.incarnation = 11;
 	elect_tick(&e, now);
 	elect_read(&e, &none, now);
-	Pass(20);
-	ASSERT_EQ(takes, 1);
+	Advance(20);
+	ASSERT_EQ(writes, 1);
 	elect_write_done(&e, ELECT_WRITE_UNKNOWN, 0, now);
-	Pass(400);
+	Advance(400);
 	elect_read(&e, &r, now);
-	Pass(300);
+	Advance(300);
 	elect_read(&e, &r, now);
-	Pass(200);
-	EXPECT_EQ(takes, 2);
+	Advance(200);
+	EXPECT_EQ(writes, 2);
 	EXPECT_EQ(term, 2u);
 	EXPECT_EQ(revision, 40);
 }
@@ -311,16 +319,16 @@
 
 	Follow(7);
 	elect_resigned(&e, 3, false, now);
-	Pass(20);
+	Advance(20);
 	ASSERT_EQ(e.role, ELECT_PRECANDIDATE);
 	elect_read(&e, &r, now);
-	Pass(20);
-	EXPECT_EQ(takes, 1);
+	Advance(20);
+	EXPECT_EQ(writes, 1);
 }
 
-// A leader is replaced, and its follower resigns within a moment.  The first
-// one may not know yet and still renew leases: the third must go on counting
-// with it, unless the one that resigns knew that nobody acts any more.
+// A leader is replaced, and its successor resigns shortly after.  The first
+// leader may not know yet and still renew leases: the third must assume that it
+// is active, unless the second one knew that no earlier leader was.
 TEST_F(Elect, AResignationSaysWhetherEarlierLeadersAct)
 {
 	for (bool alone : { false, true }) {
@@ -328,64 +336,65 @@
 
 		SetUp();
 		Follow(7);
-		Pass(200);
+		Advance(200);
 		elect_resigned(&e, 3, alone, now);
-		Pass(20);
+		Advance(20);
 		elect_read(&e, &r, now);
-		Pass(20);
-		ASSERT_GT(takes, 0);
+		Advance(20);
+		ASSERT_GT(writes, 0);
 		elect_write_done(&e, ELECT_WRITE_DONE, 41, now);
 		EXPECT_EQ(e.no_former_leader, alone);
 	}
 }
 
-// The answer to our own take was lost, and we take again from ourselves: the
-// leader before that may still act.
-TEST_F(Elect, OurOwnFormerLifeSaysNothingOfEarlierLeaders)
+// The write of our own leader record got no answer, and we replace the record
+// ourselves: the leader before that may still be active.
+TEST_F(Elect, OurOwnFormerIncarnationSaysNothingOfEarlierLeaders)
 {
 	struct elect_record r = Record("me", 4, 40, 300);
 
 	Follow(7);
-	Pass(700);
+	Advance(700);
 	elect_read(&e, &r, now);
-	Pass(20);
+	Advance(20);
 	elect_read(&e, &r, now);
-	Pass(200);
-	ASSERT_GT(takes, 0);
+	Advance(200);
+	ASSERT_GT(writes, 0);
 	EXPECT_EQ(term, 5u);
 	elect_write_done(&e, ELECT_WRITE_DONE, 41, now);
 	EXPECT_FALSE(e.no_former_leader);
 }
 
-// Callers wait twice as long for their jobs after an outage of the store, until
-// the end of the day: one of the weakest entries leads.  The leader and all
-// others lose the store for two seconds.  As it comes back all that had asked
-// for the lead take it in the same moment, before the leader's word that it has
-// the store again, and the first to write wins, whatever its rank.
+// Guards against one of the weakest entries becoming the leader in an outage of
+// the store, after which callers wait twice as long for their jobs until the
+// end of the day.  The leader and all members lose the store for two seconds.
+// When it returns, all members that requested votes write the leader record at
+// the same moment, before the leader reports that it has the store again, and
+// the first write wins regardless of rank.
 TEST_F(Elect, AnOutageThatHitsAllDeposesNobody)
 {
 	constexpr int64_t kOutage = 2200;
 	struct elect_record r = Record("other", 3, 30, 301);
 
 	Follow(3, 2);
-	BeatWithoutStore(kOutage, nullptr);
-	Pass(20);
-	AnswerAsks(&r);
-	Pass(kBeat - 20);
-	AnswerAsks(&r);
-	Beat(3, true, 2);
-	Pass(1000);
-	EXPECT_EQ(takes, 0);
+	HeartbeatsWithoutStore(kOutage, nullptr);
+	Advance(20);
+	AnswerRequests(&r);
+	Advance(kHeartbeatMs - 20);
+	AnswerRequests(&r);
+	Heartbeat(3, true, 2);
+	Advance(1000);
+	EXPECT_EQ(writes, 0);
 }
 
-// The same, but the leader doesn't get the store back: it is replaced.
+// As before, but the leader does not regain the store: it is replaced.
 TEST_F(Elect, ALeaderThatStaysWithoutTheStoreIsReplacedAfterAnOutage)
 {
 	constexpr int64_t kOutage = 2200;
 	struct elect_record r = Record("other", 3, 30, 301);
 
 	Follow(3, 2);
-	BeatWithoutStore(kOutage, nullptr);
-	BeatWithoutStore(1500, &r);
-	EXPECT_EQ(takes, 1);
+	HeartbeatsWithoutStore(kOutage, nullptr);
+	HeartbeatsWithoutStore(1500, &r);
+	EXPECT_EQ(writes, 1);
 }
--- a/tests/test_evict.cc
+++ b/tests/test_evict.cc
@@ -24,7 +24,7 @@
 		s.used_cpu_millis = 12000;
 		quiet = learn_kind(l, "v/quiet");
 		noisy = learn_kind(l, "v/noisy");
-		teach();
+		train();
 	}
 
 	void
@@ -34,9 +34,9 @@
 		learn_close(l);
 	}
 
-	/* Teach that noisy slows the service, and quiet does not. */
+	/* Train the model: noisy slows the service, and quiet does not. */
 	void
-	teach()
+	train()
 	{
 		for (int i = 0; i < 60; i++, t += 20000) {
 			learn_tenant_start(w, 1, noisy, 8000, t);
@@ -60,7 +60,7 @@
 		return e;
 	}
 
-	/* One more late measurement, then the decision on it. */
+	/* Record one more delayed measurement, then decide on it. */
 	evict_result
 	after(double p99_ms)
 	{
@@ -75,7 +75,10 @@
 		return evict_decide(&o, &s, w, tasks.data(), tasks.size(), t);
 	}
 
-	/* The action after a run of measurements, or nothing. */
+	/*
+	 * Repeat up to n times; returns the first action, or the last result
+	 * without one.
+	 */
 	evict_result
 	after_many(double p99_ms, int n)
 	{
@@ -96,9 +99,9 @@
 };
 
 /*
- * The target is missed for good.  The likeliest cause is throttled twice,
- * then checkpointed; one that cannot be is stopped.  Each step waits for a
- * measurement that can show the one before.
+ * The target is missed permanently.  The likeliest cause is throttled twice and
+ * then checkpointed; a task that cannot be checkpointed is stopped.  Each step
+ * waits for a measurement that can show the effect of the previous one.
  */
 TEST_F(Evict, ThrottlesThenCheckpointsThenStopsTheLikeliestCause)
 {
@@ -140,7 +143,7 @@
 	EXPECT_EQ(decide().action, EVICT_THROTTLE);
 }
 
-TEST_F(Evict, AWaveOfNoiseThatMissesNowAndThenChangesNothing)
+TEST_F(Evict, OccasionalMissesChangeNothing)
 {
 	tasks = { task(noisy) };
 	for (int i = 0; i < 50; i++) {
@@ -195,8 +198,9 @@
 }
 
 /*
- * A survey evicted again and again is the users' worst case.  At its limit
- * it stays, however badly the service does; it can still be throttled.
+ * Guards against a task being evicted again and again, the worst case for its
+ * users.  At its limit it stays, whatever the latency of the service; it can
+ * still be throttled.
  */
 TEST_F(Evict, ATaskAtItsLimitIsThrottledButNeverEvictedAgain)
 {
@@ -261,7 +265,10 @@
 	EXPECT_EQ(after_many(60, 8).reason, EVICT_ON_TARGET);
 }
 
-/* Jobs that declared too little: the VM is over what it has, at once. */
+/*
+ * Jobs use more than they declared: the VM's CPUs are overcommitted, and a task
+ * is throttled at once.
+ */
 TEST_F(Evict, AVmOverItsProcessorsThrottlesTheTaskThatTakesMost)
 {
 	tasks = { task(quiet), task(quiet), task(noisy) };
--- a/tests/test_fleet.cc
+++ b/tests/test_fleet.cc
@@ -1,4 +1,4 @@
-// The VM list: its form, and what absence from it means.
+// Tests of the format of the VM list, and of VMs that are absent from it.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -59,10 +59,10 @@
 	}
 };
 
-// A worker disappears from one list, comes back, then is absent for good.
-// Tasks there may be started elsewhere only once it counts as gone, so one
-// absence must not do that, and a second one starts the wait anew.
-TEST_F(FleetTest, OneAbsenceIsNotTheEnd)
+// A worker is absent from one list, returns, and is then absent permanently.
+// Its tasks may be started elsewhere only once it counts as gone, so one
+// absence must not have that effect, and a second one restarts the timeout.
+TEST_F(FleetTest, OneAbsenceIsNotGone)
 {
 	struct vm_info info = worker("w1", VM_LIVE);
 
@@ -111,7 +111,7 @@
 	free(infos);
 }
 
-// A list with one bad VM is refused whole and names the field.
+// A list with one invalid VM is refused as a whole, with the name of the field.
 TEST(VmlistTest, NamesTheBadField)
 {
 	const struct {
--- a/tests/test_foreign.cc
+++ b/tests/test_foreign.cc
@@ -1,5 +1,5 @@
-// What other writers put into the store, and what damaged workers answer:
-// each kind names no worker to use and leaves the others usable.
+// Records that other programs write to the store, and answers of faulty
+// workers: an invalid one adds no usable worker, and the others stay usable.
 
 #include <unistd.h>
 
@@ -43,15 +43,15 @@
 	SetUp() override
 	{
 		counter_reset();
-		world = platform_config_open();
-		platform_config_ops(world, &ops);
+		platform = platform_config_open();
+		platform_config_ops(platform, &ops);
 		refused_init(&refused, "test_refused");
 	}
 
 	void
 	TearDown() override
 	{
-		platform_config_close(world);
+		platform_config_close(platform);
 		refused_free(&refused);
 	}
 
@@ -83,7 +83,7 @@
 		    ("reason=\"" + reason + "\"").c_str()));
 	}
 
-	struct platform_config *world;
+	struct platform_config *platform;
 	struct platform_ops ops;
 	struct refused refused;
 };
@@ -141,7 +141,7 @@
 {
 	EXPECT_FALSE(Worker("servers/a", With("\"ready\"", "\"asleep\"")));
 	EXPECT_EQ(Refused("state"), 1u);
-	// Which services there are is known with the configuration.
+	// Services are checked once the configuration is known.
 	EXPECT_TRUE(Worker("servers/b", With("\"s\"", "\"u\"")));
 	ASSERT_NE(ops.config(ops.self, "op/config", kConfig, strlen(kConfig)),
 	    nullptr);
@@ -160,13 +160,14 @@
 	EXPECT_TRUE(Worker("servers/good", kGood));
 	EXPECT_EQ(Refused("not_json"), 3u);
 	EXPECT_EQ(Refused("id"), 1u);
-	// Read again with the whole list, it isn't news.
+	// When the whole list is read again, an unchanged record is not counted
+	// again.
 	EXPECT_FALSE(Worker("servers/a", ""));
 	EXPECT_EQ(Refused("not_json"), 3u);
 }
 
-// One item whose bytes can't be read, in a list or a watch: it is handed on
-// without any, and the others as they are.
+// An item of a list or a watch whose value can't be decoded is passed on
+// without a value, and the other items unchanged.
 TEST_F(Foreign, AnItemThatCannotBeReadLeavesTheOthers)
 {
 	const char text[] =
@@ -191,9 +192,9 @@
 	json_decref(list);
 }
 
-// A row that can't be understood may be a task that runs: taken for none, it
-// would be started a second time.  So the worker has told nothing.
-TEST_F(Foreign, AReportWithADamagedRowSaysNothing)
+// A row that can't be decoded may be a running task; if it were ignored, the
+// task would be started a second time.  The whole report is therefore refused.
+TEST_F(Foreign, AReportWithADamagedRowIsRefused)
 {
 	EXPECT_TRUE(ReadReport(kReport));
 	EXPECT_TRUE(ReadReport("{\"running\":[],\"finished\":[]}"));
--- a/tests/test_health.cc
+++ b/tests/test_health.cc
@@ -27,10 +27,10 @@
 };
 
 /*
- * A worker fails every task at once.  It always has room, so without a
- * back-off the whole queue would pass through it and fail.
+ * A worker fails every task at once.  It always has room, so without backoff
+ * the whole queue would be sent to it and fail.
  */
-TEST_F(Health, AWorkerThatFailsEverythingIsLeftAloneThenProbed)
+TEST_F(Health, AWorkerThatFailsEverythingIsBackedOffThenProbed)
 {
 	health_worker w = {};
 	health_job jobs[8] = {};
@@ -69,11 +69,11 @@
 }
 
 /*
- * A job whose tasks fail wherever they run goes through the fleet.  If each
- * of its failures counted against the worker, good workers would be left
- * alone one after another, and the job would never be given up.
+ * A job fails on every worker.  If each of its failures counted against the
+ * worker, good workers would be backed off one after the other, and the job
+ * would never be given up.
  */
-TEST_F(Health, AJobThatFailsEverywhereIsSaidSoAndBacksOffNoWorker)
+TEST_F(Health, AJobThatFailsEverywhereIsReportedAndBacksOffNoWorker)
 {
 	health_worker w[10] = {};
 	health_job j = {};
@@ -119,7 +119,7 @@
 	EXPECT_EQ(jobs[3].failed_on, 0);
 }
 
-TEST_F(Health, AJobLargerThanAnyVmInOneDimensionIsSaidSo)
+TEST_F(Health, AJobLargerThanAnyVmInOneDimensionIsReported)
 {
 	const struct {
 		resources size;
@@ -136,7 +136,7 @@
 		    health_evaluate(&o, &j, &row.size, &largest), row.want);
 }
 
-TEST_F(Health, ASuspectProbeSaysNothingAndTheNextWaits)
+TEST_F(Health, AProbeOfAFailingJobIsInconclusiveAndTheNextWaits)
 {
 	health_worker w = {}, good[2] = {};
 	health_job jobs[3] = {}, suspect = {};
--- a/tests/test_itemset.cc
+++ b/tests/test_itemset.cc
@@ -9,8 +9,8 @@
 
 namespace {
 
-// The store's stand-in keeps the platform's protocol: what the entries rely
-// on there must hold in runs against it.
+// The stand-in for the store implements the protocol of the platform's store:
+// the guarantees that the entries rely on must hold in runs against it.
 class Itemset : public ::testing::Test {
       protected:
 	void
@@ -113,7 +113,7 @@
 	ASSERT_NE(second, nullptr);
 	EXPECT_STREQ(second->key, "lp/j/2");
 	EXPECT_EQ(itemset_next(set_, "lp/j/", "lp/j/2"), nullptr);
-	// The key to go on after may be gone meanwhile.
+	// The key to continue after may have been deleted.
 	Remove("lp/j/1");
 	EXPECT_STREQ(itemset_next(set_, "lp/j/", "lp/j/1")->key, "lp/j/2");
 }
@@ -128,7 +128,7 @@
 	EXPECT_EQ(Changes(itemset_revision(set_)), Keys());
 }
 
-TEST_F(Itemset, ForgottenChangesAreSaidToBeForgotten)
+TEST_F(Itemset, CompactedChangesAreReportedAsCompacted)
 {
 	enum itemset_error error;
 
@@ -143,7 +143,7 @@
 	EXPECT_EQ(Changes(seen), (Keys{ "c" }));
 }
 
-TEST_F(Itemset, WhatHangsOnALeaseGoesWithIt)
+TEST_F(Itemset, KeysOfALeaseAreDeletedWithIt)
 {
 	uint64_t lease = itemset_grant_lease(set_, 1000, 50000);
 	uint64_t other = itemset_grant_lease(set_, 5000, 50000);
--- a/tests/test_learn.cc
+++ b/tests/test_learn.cc
@@ -68,10 +68,9 @@
 }
 
 /*
- * The measurement of a window arrives after its noisy task has left and a
- * quiet one has come.  An operator would see the quiet one evicted, and the
- * noisy one placed beside a service again, if those present when it arrives
- * were blamed.
+ * The measurement of a time window arrives after its noisy task has left and a
+ * quiet one has started.  If the tasks present on arrival were blamed, the
+ * quiet one would be evicted, and the noisy one placed beside a service again.
  */
 TEST_F(Learn, BlamesThoseWhoSharedTheWindowNotThoseWhoAreThereNow)
 {
@@ -82,7 +81,7 @@
 		learn_tenant_start(w, 100, noisy, 8000, t);
 		learn_tenant_end(w, 100, t + 20000);
 		learn_tenant_start(w, 200, quiet, 8000, t + 20000);
-		/* It covers t+10000 to t+20000 and arrives at t+30000. */
+		/* Covers t+10000 to t+20000 and arrives at t+30000. */
 		learn_service_p99(w, service, 20, t + 20000, 10000);
 		learn_tenant_end(w, 200, t + 35000);
 	}
@@ -111,7 +110,7 @@
 	EXPECT_LT(noisy_sd, 0.04);
 }
 
-TEST_F(Learn, EvidenceFadesBackToNotKnowing)
+TEST_F(Learn, EvidenceDecaysBackToThePrior)
 {
 	double sd_first, sd, sd_late, first, late;
 	int64_t t = minute;
@@ -127,7 +126,7 @@
 	EXPECT_NEAR(sd_late, sd_first, 0.001);
 }
 
-TEST_F(Learn, OneWildMeasurementMovesLittle)
+TEST_F(Learn, OneOutlierHasLittleEffect)
 {
 	int64_t t = minute;
 	learn_service_p99(w, service, 10, t, 10000);
@@ -150,7 +149,7 @@
 	EXPECT_EQ(learn_cpu_millis(w), 10000);
 }
 
-TEST_F(Learn, ImpactGrowsWithWhatIsLearntAndKnowsWhatIsUnknown)
+TEST_F(Learn, ImpactGrowsWithWhatIsLearntAndReportsUnknownPairs)
 {
 	struct learn_impact a, b;
 	int64_t t = minute;
@@ -167,8 +166,8 @@
 }
 
 /*
- * A noisy task starts on a VM whose latency was learnt when it was quiet.
- * Calls sent there before the next answers would be slow for the callers.
+ * A noisy task starts on a VM whose latency was learnt without it.  Calls sent
+ * there before the next measurements would be slow for their callers.
  */
 TEST_F(Learn, LatencyIsExpectedHigherAsSoonAsANoisyTaskStarts)
 {
@@ -187,7 +186,7 @@
 	EXPECT_GT(learn_latency_ms(w, service, 1, t), 10);
 }
 
-TEST_F(Learn, AnOldLatencyGivesWayToThatOfTheService)
+TEST_F(Learn, AnOldLatencyDecaysToThatOfTheService)
 {
 	struct learn_worker *other = learn_worker_open(l);
 	int64_t t = minute;
@@ -215,7 +214,7 @@
 	const use_row rows[] = {
 		{ "nothing known", 0, 0, 1, 1, 1, 4000, 8000 },
 		{ "once is not enough", 1, 0, 3, 3, 1, 4000, 8000 },
-		{ "as declared but for scatter", 5, 0, 1.02, 0.93, 1, 4000,
+		{ "as declared within the spread", 5, 0, 1.02, 0.93, 1, 4000,
 		    8000 },
 		{ "uses more", 5, 0, 2, 3, 0, 8000, 24000 },
 		{ "never over 4 times", 5, 0, 9, 9, 0, 16000, 32000 },
@@ -263,8 +262,8 @@
 }
 
 /*
- * The service slows down when a kind that was never seen joins one that is
- * known to be harmless.  Blaming both alike would evict the known one too.
+ * The service slows down when an unknown kind joins one that is known to be
+ * harmless.  Blaming both equally would evict the known one too.
  */
 TEST_F(Learn, ANewcomerIsBlamedBeforeAKnownNeighbour)
 {
@@ -283,9 +282,9 @@
 }
 
 /*
- * One job declares its run time well, another of the same kind a quarter of
- * it, and its tasks happen to run beside a noisy kind.  If their length
- * were put down to that neighbour, it would be shunned for no reason.
+ * One job declares its run time correctly, another of the same kind a quarter
+ * of it, and its tasks happen to run beside a noisy kind.  If their longer run
+ * time were attributed to that neighbour, it would be avoided without reason.
  */
 TEST_F(Learn, AWrongRunTimeIsNotBlamedOnNeighbours)
 {
--- a/tests/test_ledger.cc
+++ b/tests/test_ledger.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-/* One entry, workers that answer at once unless told not to. */
+/* One entry, and workers whose answers the test supplies. */
 class Ledger : public testing::Test {
       protected:
 	struct ledger *l = nullptr;
@@ -185,16 +185,17 @@
 }
 
 /*
- * The store goes away with a write on its way.  What was written before it
- * starts as room appears, finishes are kept, nothing new is bound; after
- * hold_ms without a word from the store everything stops.
+ * The store becomes unavailable with a write in flight.  Tasks whose bind was
+ * confirmed before still start when room becomes free, finishes are not
+ * acknowledged, and nothing new is bound.  After hold_ms without confirmation
+ * from the store, all calls to workers stop.
  */
-TEST_F(Ledger, GoesOnWithBoundWorkWhileTheStoreIsAway)
+TEST_F(Ledger, ContinuesBoundWorkWhileTheStoreIsUnavailable)
 {
 	struct ledger_report done = { "j/0", 1, OUTCOME_DONE };
 	struct ledger_report runs = { "j/1", 1, OUTCOME_DONE };
 
-	accept(4); /* two run, two are bound ahead */
+	accept(4); /* two run, two are bound without room */
 	commit();
 	ledger_start_answered(l, "j/0", 1, RESULT_OK, now);
 	ledger_start_answered(l, "j/1", 1, RESULT_OK, now);
@@ -217,8 +218,11 @@
 		EXPECT_EQ(s, "read");
 }
 
-/* A lost answer: read back; in effect or not, then go on from there. */
-TEST_F(Ledger, ReadsBackALostAnswer)
+/*
+ * A write gets no answer: the record is read back, and shows here that the
+ * write took effect.
+ */
+TEST_F(Ledger, ReadsBackAWriteWithoutAnAnswer)
 {
 	struct ledger_head head = {};
 
@@ -255,7 +259,10 @@
 	EXPECT_TRUE(sent.empty());
 }
 
-/* A worker has seen a higher epoch: ask the store before anything else. */
+/*
+ * A worker has seen a higher epoch: the entry sends nothing before it has read
+ * the record.
+ */
 TEST_F(Ledger, StopsAtOnceWhenFenced)
 {
 	accept(1);
@@ -274,7 +281,10 @@
 	EXPECT_EQ(lost, LOST_FENCED);
 }
 
-/* Finishes: repeated, of an older attempt, acknowledged after the write. */
+/*
+ * A finish that is reported repeatedly counts once, one of an older attempt is
+ * ignored, and it is acknowledged only after the write.
+ */
 TEST_F(Ledger, CountsAFinishOnceAndAcknowledgesItWhenWritten)
 {
 	struct ledger_report done = { "j/0", 1, OUTCOME_DONE };
@@ -301,7 +311,10 @@
 	EXPECT_EQ(ledger_find(l, "j", 0), nullptr);
 }
 
-/* Cancellations of a burst free their room in one round. */
+/*
+ * One ledger step after a job with many tasks is cancelled sends all stops; one
+ * fence round frees the resources.
+ */
 TEST_F(Ledger, CancelsABurstInOnePass)
 {
 	accept(40);
@@ -324,7 +337,10 @@
 	EXPECT_EQ(l->ntasks, 0U);
 }
 
-/* Evicted with a checkpoint: bound again with the next attempt and token. */
+/*
+ * A task evicted with a checkpoint is bound again as the next attempt, with the
+ * token of the first answer.
+ */
 TEST_F(Ledger, ResumesFromItsCheckpoint)
 {
 	accept(1);
@@ -344,8 +360,8 @@
 }
 
 /*
- * A full worker with tasks bound ahead; room that becomes free goes to the
- * urgent task, which starts though others were bound there before it.
+ * Resources freed on a full worker go to the urgent task, which starts before
+ * tasks that were bound ahead there.
  */
 TEST_F(Ledger, FreedRoomGoesToAnUrgentTaskFirst)
 {
@@ -367,7 +383,7 @@
 	EXPECT_EQ(w0()->room.used.cpu_millis, 2);
 }
 
-/* 100 tasks too large for the worker don't keep the job behind from it. */
+/* 100 tasks that are too large for the worker do not delay the next job. */
 TEST_F(Ledger, AJobThatFitsNowhereKeepsNoOtherWaiting)
 {
 	struct task_record r = {};
@@ -383,9 +399,10 @@
 }
 
 /*
- * Two run and two wait at a full worker when another comes: what waits there
- * goes over, the last first, and starts once that is written; not what runs,
- * nor while the store is away.
+ * Two tasks run and two wait for room on a full worker when another worker
+ * joins.  Tasks that wait are rebound there, the last one first, and start once
+ * the new bind is committed.  Running tasks are not rebound, and none is while
+ * the store is unavailable.
  */
 TEST_F(Ledger, BindsElsewhereWhatWaitsForRoom)
 {
@@ -413,7 +430,10 @@
 	    ledger_rebind(l, ledger_find(l, "j", 0), w1), LEDGER_ERR_STATE);
 }
 
-/* A worker out of reach keeps its tasks until their leases are over. */
+/*
+ * Tasks of an unreachable worker are not rebound before their leases have
+ * surely expired.
+ */
 TEST_F(Ledger, WaitsForTheLeaseOfALostWorker)
 {
 	struct resources two = { 2, 2, 0 };
@@ -453,7 +473,10 @@
 	EXPECT_EQ(state(0), TASK_FAILED);
 }
 
-/* Handed over: the record says so before anything else may start. */
+/*
+ * On a hand-over, the record is written without an owner before anything else
+ * is sent.
+ */
 TEST_F(Ledger, HandsOver)
 {
 	accept(1);
--- a/tests/test_ledger_model.cc
+++ b/tests/test_ledger_model.cc
@@ -16,43 +16,49 @@
 #include "ledger_world.h"
 
 /*
- * Explores every order of events, to a stated depth, of two entries, one
+ * Explores every order of events, up to a given depth, of two entries, one
  * store record and two workers with room for one task each.  Any call may be
- * delayed, overtaken, answered late or given up by its caller and still take
- * effect later; an entry may pause and wake; either entry may take the shard
- * over at any time, rightly or not; time may pass.  After each event:
- *  - no task runs on two workers, no worker runs more than it has room for;
- *  - an attempt runs once, attempts don't go back, finished work isn't redone;
- *  - an accepted task is in the inbox, in the record, or finished.
- * Each safeguard can be taken out (enum fault), and must then be missed.
+ * delayed, reordered, answered late, or time out at its caller and still take
+ * effect later; an entry may pause and resume; either entry may acquire the
+ * shard at any time, rightly or not; time may pass.  After each event:
+ * - no task runs on two workers, and no worker runs more tasks than it has room
+ *   for;
+ * - an attempt runs at most once, attempt numbers never decrease, and a
+ *   finished task doesn't run again;
+ * - an accepted task is in the inbox, in the record, or finished.
+ * Each safeguard can be disabled (enum fault); the search must then find a
+ * violation.
  */
 
 namespace {
 
 using namespace ledger_world;
 
-typedef std::function<void(world &)> prefix;
+typedef std::function<void(cluster &)> setup;
 
-/* Deliver calls in order until the store and workers are quiet. */
+/* Deliver up to n calls in order. */
 void
-deliver(world &w, int n)
+deliver(cluster &w, int n)
 {
 	for (int i = 0; i < n && !w.calls.empty(); i++)
 		w.apply({ DELIVER, 0, 0 });
 }
 
-/* The entry owns the shard and has fenced both workers; tasks in the inbox. */
+/* Entry 0 acquires the shard, with its tasks in the inbox. */
 void
-owned(world &w)
+owned(cluster &w)
 {
 	w.apply({ TAKE, 0, 0 });
 	deliver(w, 2);
 }
 
-/* Both tasks are bound to the one worker that is fenced, as yet unwritten;
- * the fence of the other is on its way: then one task is bound there. */
+/*
+ * Both tasks are bound to the fenced worker, and the write is unconfirmed.  The
+ * fence of the other worker is in flight; after its answer one task is rebound
+ * there.
+ */
 void
-one_fenced(world &w)
+one_fenced(cluster &w)
 {
 	auto at = [&w](call_kind kind, int worker) {
 		for (size_t i = 0; i < w.calls.size(); i++)
@@ -67,21 +73,21 @@
 		w.apply({ DELIVER, at(FENCE, 0), 0 });
 }
 
-/* The tasks are bound, written and running. */
+/* The tasks are bound, the binds are confirmed, and the tasks are running. */
 void
-running(world &w)
+running(cluster &w)
 {
 	owned(w);
 	for (int i = 0; i < 40 &&
-	     w.machines[0].running.size() + w.machines[1].running.size() <
+	     w.sim_workers[0].running.size() + w.sim_workers[1].running.size() <
 		 (size_t)w.ntasks;
 	     i++)
 		deliver(w, 1);
 }
 
 struct result {
-	size_t states, transitions, drained;
-	int depth; /* explored whole to here */
+	size_t states, transitions, completed;
+	int depth; /* explored completely up to this depth */
 	std::string violation, path;
 };
 
@@ -92,7 +98,7 @@
 };
 
 void
-replay(world &w, const prefix &start, const std::vector<trace> &nodes, int at)
+replay(cluster &w, const setup &start, const std::vector<trace> &nodes, int at)
 {
 	std::vector<event> path;
 
@@ -121,8 +127,8 @@
 }
 
 result
-explore(fault f, int tasks, bounds b, const prefix &start, int depth,
-    size_t limit, int drain_every)
+explore(fault f, int tasks, bounds b, const setup &start, int depth,
+    size_t limit, int complete_every)
 {
 	std::unordered_set<uint64_t> seen;
 	std::vector<trace> nodes;
@@ -133,11 +139,11 @@
 		out.depth = nodes[at].depth;
 		if (out.depth >= depth)
 			break;
-		world base(f, tasks, b);
+		cluster base(f, tasks, b);
 		replay(base, start, nodes, (int)at);
 		std::vector<event> events = base.enabled();
 		for (auto &ev : events) {
-			world w(f, tasks, b);
+			cluster w(f, tasks, b);
 			replay(w, start, nodes, (int)at);
 			w.apply(ev);
 			out.transitions++;
@@ -148,10 +154,11 @@
 					continue;
 				nodes.push_back(
 				    { (int)at, ev, nodes[at].depth + 1 });
-				if (drain_every > 0 &&
-				    nodes.size() % (size_t)drain_every == 0) {
-					out.drained++;
-					w.drain();
+				if (complete_every > 0 &&
+				    nodes.size() % (size_t)complete_every ==
+					0) {
+					out.completed++;
+					w.run_to_completion();
 				}
 			}
 			if (!w.violation.empty()) {
@@ -166,9 +173,12 @@
 	return out;
 }
 
-/* A has written the bind and paused; its start is on the way; B owns. */
+/*
+ * Entry 0 has its bind confirmed and is paused with the start in flight; entry
+ * 1 has acquired the shard.
+ */
 void
-taken_over(world &w)
+taken_over(cluster &w)
 {
 	owned(w);
 	for (int i = 0; i < 40 && w.nodes[0].ledger != nullptr; i++) {
@@ -186,10 +196,10 @@
 struct scenario {
 	const char *name;
 	int tasks;
-	bounds left; /* give_ups pauses takes ticks long evicts finishes */
-	prefix start;
+	bounds remaining; /* in order of the members of struct bounds */
+	setup start;
 	int depth;
-	int drain_every;
+	int complete_every;
 };
 
 const scenario scenarios[] = {
@@ -206,7 +216,10 @@
 	{ "two tasks", 2, { 1, 0, 2, 1, 0, 1, 1 }, running, 8, 50 },
 };
 
-/* Expanded states of a scenario; more of them take longer and reach deeper. */
+/*
+ * Limit of expanded states in a scenario; a higher limit takes longer and
+ * reaches deeper.
+ */
 size_t
 states_max()
 {
@@ -218,21 +231,21 @@
 TEST(LedgerModel, EveryInterleavingKeepsTheInvariants)
 {
 	for (auto &s : scenarios) {
-		result r = explore(FAULT_NONE, s.tasks, s.left, s.start,
-		    s.depth, states_max(), s.drain_every);
+		result r = explore(FAULT_NONE, s.tasks, s.remaining, s.start,
+		    s.depth, states_max(), s.complete_every);
 		printf("%-20s depth %d%s: %zu states, %zu transitions, "
-		       "%zu run to their end\n",
+		       "%zu run to completion\n",
 		    s.name, r.depth,
-		    r.depth < s.depth ? " (in part deeper)" : "", r.states,
-		    r.transitions, r.drained);
+		    r.depth < s.depth ? " (partially deeper)" : "", r.states,
+		    r.transitions, r.completed);
 		EXPECT_EQ(r.violation, "") << s.name << ": " << r.path;
 	}
 }
 
 const struct {
-	fault broken;
+	fault injected;
 	const char *scenario;
-	bool to_the_end; /* seen only when the rest of the run is played */
+	bool to_the_end; /* found only by running to completion */
 } needed[] = {
 	{ FAULT_NO_FENCE, "evict", false },
 	{ FAULT_NO_EPOCH, "former owner wakes", false },
@@ -242,7 +255,7 @@
 	{ FAULT_LOST_START, "lost start", false },
 	{ FAULT_EARLY_ACK, "finish", true },
 	{ FAULT_NO_HOLD, "worker out of reach", true },
-	{ FAULT_STOP_IS_STOP, "evict", false },
+	{ FAULT_STOP_UNFINISHED, "evict", false },
 	{ FAULT_NO_REVISION, "takeover", false },
 	{ FAULT_MOVE_STARTED, "bound elsewhere", false },
 };
@@ -253,12 +266,13 @@
 		for (auto &s : scenarios) {
 			if (strcmp(s.name, n.scenario) != 0)
 				continue;
-			result r = explore(n.broken, s.tasks, s.left, s.start,
-			    s.depth, states_max(), n.to_the_end ? 1 : 0);
-			printf("%-28s caught in \"%s\": %s\n   %s\n",
-			    fault_names[n.broken], s.name, r.violation.c_str(),
-			    r.path.c_str());
-			EXPECT_NE(r.violation, "") << fault_names[n.broken];
+			result r =
+			    explore(n.injected, s.tasks, s.remaining, s.start,
+				s.depth, states_max(), n.to_the_end ? 1 : 0);
+			printf("%-28s found in \"%s\": %s\n   %s\n",
+			    fault_names[n.injected], s.name,
+			    r.violation.c_str(), r.path.c_str());
+			EXPECT_NE(r.violation, "") << fault_names[n.injected];
 		}
 	}
 }
--- a/tests/test_lending.cc
+++ b/tests/test_lending.cc
@@ -20,16 +20,16 @@
 	SetUp() override
 	{
 		struct credit_options o = { "e1", 1, nullptr, nullptr };
-		book = credit_open(&o);
+		table = credit_open(&o);
 		for (int i = 0; i < 6; i++)
-			credit_issue(book, ("w" + std::to_string(i)).c_str(),
+			credit_issue(table, ("w" + std::to_string(i)).c_str(),
 			    "r1", 1, { 8, 64 }, { 0, 0 });
-		credit_leaving(book, "w5", true);
+		credit_leaving(table, "w5", true);
 	}
 	void
 	TearDown() override
 	{
-		credit_close(book);
+		credit_close(table);
 	}
 	size_t
 	Grant(int slots, int connections, unsigned int turn, size_t max)
@@ -39,7 +39,7 @@
 
 		sum = { 0, 0 };
 		size_t n = lending_grant(
-		    book, Serves, nullptr, &request, turn, out, max);
+		    table, Serves, nullptr, &request, turn, out, max);
 		for (size_t i = 0; i < n; i++) {
 			sum.slots += out[i].amount.slots;
 			sum.connections += out[i].amount.connections;
@@ -49,7 +49,7 @@
 		return n;
 	}
 
-	struct credit_table *book = nullptr;
+	struct credit_table *table = nullptr;
 	struct credit_transfer out[8];
 	struct credit_amount sum;
 };
@@ -62,14 +62,15 @@
 	EXPECT_STREQ("w0", out[2].worker);
 	EXPECT_EQ(3, sum.slots);
 	EXPECT_EQ(0u, Grant(5, 5, 0, 0));
-	EXPECT_GT(Grant(0, 9, 0, 8), 0u); // standing watches
+	EXPECT_GT(Grant(0, 9, 0, 8), 0u); // watches take connections only
 	EXPECT_EQ(0, sum.slots);
 	EXPECT_EQ(9, sum.connections);
 	EXPECT_EQ(4u, Grant(1000, 1000, 0, 8));
 	EXPECT_EQ(29, sum.slots);
 	EXPECT_EQ(29, sum.connections);
 	EXPECT_EQ(0u, Grant(1, 1, 0, 8));
-	EXPECT_EQ(8, credit_spare(book).slots); // of w4 alone
+	EXPECT_EQ(
+	    8, credit_spare(table).slots); // of w4, which does not serve it
 }
 
 TEST(LendingOffer, IsInProportionOrHalfOfWhatIsSpare)
@@ -82,10 +83,11 @@
 	EXPECT_EQ(5, lending_offer({ 60, 55 }, { 60, 50 }, 10, 30)); // half
 	EXPECT_EQ(3, lending_offer({ 60, 55 }, { 60, 50 }, 10, 3));
 	EXPECT_EQ(0, lending_offer({ 60, 60 }, { 20, 60 }, 0, 30));
-	EXPECT_EQ(52, lending_needed(40, 1000)); // a backlog counts in part
+	EXPECT_EQ(52, lending_needed(40, 1000)); // a backlog counts partially
 	EXPECT_EQ(42, lending_needed(40, 2));
-	// More came than was waited for.  A negative need doesn't fit on the
-	// wire: the peer refused the message, with the credits in it.
+	// More credits arrived than were requested.  A negative need cannot be
+	// encoded in the message: the peer refused the message with the credits
+	// in it.
 	EXPECT_EQ(5, lending_needed(5, -9));
 	EXPECT_FALSE(lending_worthwhile(3, 60));
 	EXPECT_TRUE(lending_worthwhile(4, 60));
@@ -93,12 +95,12 @@
 	EXPECT_FALSE(lending_worthwhile(0, 0));
 	EXPECT_EQ(0, lending_estimate({ 60, 60 }, 10, { 20, 20 }));
 	EXPECT_EQ(
-	    2, lending_estimate({ 60, 60 }, 1000, { 20, 20 })); // old news
+	    2, lending_estimate({ 60, 60 }, 1000, { 20, 20 })); // stale report
 	EXPECT_EQ(0, lending_estimate({ 0, 0 }, 1000, { 20, 20 }));
 	EXPECT_EQ(20, lending_estimate({ 60, 20 }, 1000, { 20, 20 }));
 }
 
-TEST_F(Lending, ReturnsHalfOfWhatLayIdleButKeepsAFloor)
+TEST_F(Lending, ReturnsHalfOfTheIdleCreditsButKeepsAMinimum)
 {
 	struct credit_amount back =
 	    lending_return({ 20, 100 }, { 25, 110 }, { 30, 200 });
@@ -107,7 +109,7 @@
 	EXPECT_EQ(50, back.connections);
 	EXPECT_EQ(0, lending_return({ 4, 4 }, { 4, 4 }, { 4, 8 }).slots);
 	EXPECT_EQ(1, lending_return({ 5, 60 }, { 5, 60 }, { 5, 60 }).slots);
-	// No slot stays behind without a connection.
+	// No slot is kept without a connection.
 	back = lending_return({ 2, 6 }, { 6, 6 }, { 90, 90 });
 	EXPECT_EQ(1, back.slots);
 	EXPECT_EQ(1, back.connections);
--- a/tests/test_machine.cc
+++ b/tests/test_machine.cc
@@ -15,8 +15,8 @@
 const char *const kTask = "5c0e7a21d94b36f8.0.1.17";
 const char *const kPayload = "100 64 50;2000 512 1500";
 
-// The workers' stand-in keeps the platform's protocol: leases, tokens and
-// numbered ends are what a task that never runs twice is built on.
+// The stand-in for workers implements the platform's worker protocol: leases,
+// fencing tokens and numbered ends ensure that a task never runs twice.
 class Machine : public ::testing::Test {
       protected:
 	void
@@ -132,7 +132,7 @@
 {
 	EXPECT_EQ(Start(kNow, 1, 1, "a.0.0.0", "100 64 0"), MACHINE_OK);
 	EXPECT_EQ(Hold(kNow + 1000, 0, kNow + 5500), MACHINE_OK);
-	// It never shortens, and is no longer than the most.
+	// A lease is never shortened, and is limited to lease_max_ms.
 	EXPECT_EQ(Hold(kNow + 1000, 0, kNow + 2000), MACHINE_OK);
 	EXPECT_EQ(Ends(kNow + 5499), Rows());
 	EXPECT_EQ(Ends(kNow + 5500), Rows{ "1 lapsed 5000" });
@@ -167,7 +167,7 @@
 	EXPECT_EQ(Start(kNow + 1400, 1), MACHINE_OLD);
 }
 
-TEST_F(Machine, ACheckpointIsGoneOnFrom)
+TEST_F(Machine, ATaskResumesFromItsCheckpoint)
 {
 	EXPECT_EQ(Start(kNow, 1, 1, kTask, kPayload, "1000"), MACHINE_OK);
 	EXPECT_EQ(Ends(kNow + 499), Rows());
--- a/tests/test_member.cc
+++ b/tests/test_member.cc
@@ -19,7 +19,7 @@
 struct Node {
 	struct members *m = nullptr;
 	Nodes *nodes = nullptr;
-	bool cut = false;
+	bool partitioned = false;
 	int64_t now = 0, paused_ms = 0;
 	std::map<std::string, int> sent; // by data centre
 	size_t largest = 0;
@@ -33,7 +33,8 @@
 
 	self->sent[to->record.data_center]++;
 	self->largest = std::max(self->largest, d->nrecords);
-	if (it != self->nodes->end() && !self->cut && !it->second->cut)
+	if (it != self->nodes->end() && !self->partitioned &&
+	    !it->second->partitioned)
 		member_merge(it->second->m, d, self->now);
 }
 
@@ -90,7 +91,7 @@
 		r.incarnation = 1;
 		member_registry_update(m, &r, "127.0.0.1:2", now);
 	}
-	// Everybody knows of e0 from its settings and of nobody else.
+	// Every entry knows e0 from its settings, and no other entry.
 	void
 	Cluster(int count)
 	{
@@ -112,7 +113,7 @@
 		}
 	}
 	enum member_state
-	Verdict(const std::string &by, const std::string &of,
+	State(const std::string &by, const std::string &of,
 	    uint64_t incarnation = 0)
 	{
 		return member_evaluate(
@@ -140,45 +141,46 @@
 	for (auto &n : nodes) {
 		EXPECT_EQ(79u, member_count(n.second->m));
 		EXPECT_LE(n.second->largest, 12u);
-		// Every data centre hears from each.
+		// Each entry sends to every data centre.
 		EXPECT_EQ(3u, n.second->sent.size());
 		for (auto &dc : n.second->sent)
 			sent += dc.second;
 	}
-	// Two a tick, and now and then one that asks and its answer.
+	// Two messages per tick, and occasionally a probe and its reply.
 	EXPECT_LE(sent, 80 * (2 * ticks + 2 * (ticks / 8 + 1)));
 }
 
-// An entry dies.  Its gossip falls silent first: others suspect it, nobody
-// replaces it.  Then its registry lease lapses and both witnesses agree.
-TEST_F(Member, DeathTakesTwoWitnesses)
+// An entry dies.  Its gossip stops first: others suspect it, and none replaces
+// it.  Then its registry lease expires, and both sources of evidence agree.
+TEST_F(Member, DeathRequiresTwoSources)
 {
 	Cluster(9);
 	for (auto &n : nodes)
 		Register(n.second->m, "e4", 1);
 	Run(20);
-	EXPECT_EQ(MEMBER_ALIVE, Verdict("e1", "e4"));
-	member_registry_remove(nodes["e1"]->m, "e4", now); // the store was away
-	EXPECT_EQ(MEMBER_ALIVE, Verdict("e1", "e4"));
+	EXPECT_EQ(MEMBER_ALIVE, State("e1", "e4"));
+	member_registry_remove(
+	    nodes["e1"]->m, "e4", now); // the store was unavailable
+	EXPECT_EQ(MEMBER_ALIVE, State("e1", "e4"));
 	Stop("e4");
 	Run(10);
-	EXPECT_EQ(MEMBER_SUSPECT, Verdict("e2", "e4"));
-	EXPECT_EQ(MEMBER_DEAD, Verdict("e1", "e4"));
-	Register(nodes["e1"]->m, "e4", 1); // its lease was only late
-	EXPECT_EQ(MEMBER_SUSPECT, Verdict("e1", "e4"));
+	EXPECT_EQ(MEMBER_SUSPECT, State("e2", "e4"));
+	EXPECT_EQ(MEMBER_DEAD, State("e1", "e4"));
+	Register(nodes["e1"]->m, "e4", 1); // its registration was only late
+	EXPECT_EQ(MEMBER_SUSPECT, State("e1", "e4"));
 	member_registry_remove(nodes["e1"]->m, "e4", now);
-	EXPECT_EQ(MEMBER_DEAD, Verdict("e1", "e4"));
-	// It is asked directly before it counts as dead.
+	EXPECT_EQ(MEMBER_DEAD, State("e1", "e4"));
+	// A probe is sent before it counts as dead.
 	member_registry_remove(nodes["e2"]->m, "e4", now);
-	EXPECT_EQ(MEMBER_SUSPECT, Verdict("e2", "e4"));
+	EXPECT_EQ(MEMBER_SUSPECT, State("e2", "e4"));
 	Run(1);
-	EXPECT_EQ(MEMBER_DEAD, Verdict("e2", "e4"));
+	EXPECT_EQ(MEMBER_DEAD, State("e2", "e4"));
 	member_set_vm(nodes["e3"]->m, "e4", MEMBER_VM_GONE, now);
 	Run(1);
-	EXPECT_EQ(MEMBER_DEAD, Verdict("e3", "e4"));
+	EXPECT_EQ(MEMBER_DEAD, State("e3", "e4"));
 	member_set_vm(
-	    nodes["e3"]->m, "e5", MEMBER_VM_GONE, now); // the list errs
-	EXPECT_EQ(MEMBER_ALIVE, Verdict("e3", "e5"));
+	    nodes["e3"]->m, "e5", MEMBER_VM_GONE, now); // the VM list is wrong
+	EXPECT_EQ(MEMBER_ALIVE, State("e3", "e5"));
 	Run(kForget / kHeartbeat + 10);
 	EXPECT_EQ(nullptr, member_find(nodes["e2"]->m, "e4"));
 }
@@ -190,13 +192,13 @@
 	Start("e1", 2, 1);
 	Register(nodes["e1"]->m, "e0", 0);
 	Run(5);
-	EXPECT_EQ(MEMBER_DEAD, Verdict("e0", "e1", 1));
-	EXPECT_EQ(MEMBER_ALIVE, Verdict("e0", "e1", 2));
-	EXPECT_EQ(MEMBER_DEAD, Verdict("e1", "e1", 1));
+	EXPECT_EQ(MEMBER_DEAD, State("e0", "e1", 1));
+	EXPECT_EQ(MEMBER_ALIVE, State("e0", "e1", 2));
+	EXPECT_EQ(MEMBER_DEAD, State("e1", "e1", 1));
 }
 
-// An entry was suspended.  When it goes on, all the others look silent to it
-// and their leases may look lapsed; it must not take over what they own.
+// An entry was paused.  When it resumes, all others look silent to it and their
+// leases may look expired; it must not take over their shards.
 TEST_F(Member, APausedEntryRejoinsBeforeItActs)
 {
 	struct member_digest old = {};
@@ -208,9 +210,9 @@
 	EXPECT_FALSE(member_may_act(nodes["e2"]->m, now));
 	member_tick(nodes["e2"]->m, now);
 	EXPECT_EQ(10 * kHeartbeat, nodes["e2"]->paused_ms);
-	member_merge(nodes["e2"]->m, &old, now); // waited in the socket
+	member_merge(nodes["e2"]->m, &old, now); // was queued in the socket
 	EXPECT_FALSE(member_may_act(nodes["e2"]->m, now));
-	EXPECT_EQ(MEMBER_ALIVE, Verdict("e2", "e0"));
+	EXPECT_EQ(MEMBER_ALIVE, State("e2", "e0"));
 	Run(3);
 	EXPECT_TRUE(member_may_act(nodes["e2"]->m, now));
 }
@@ -219,49 +221,49 @@
 {
 	Cluster(3);
 	Run(5);
-	nodes["e2"]->cut = true;
+	nodes["e2"]->partitioned = true;
 	now += 10 * kHeartbeat;
 	Run(1);
 	EXPECT_FALSE(member_may_act(nodes["e2"]->m, now));
 	Run(kSilence / kHeartbeat);
 	EXPECT_TRUE(member_may_act(nodes["e2"]->m, now));
-	EXPECT_EQ(MEMBER_SUSPECT, Verdict("e2", "e1")); // by silence alone
-	nodes["e2"]->cut = false;
-	Run(2 * kSilence / kHeartbeat + 8); // both sides find each other again
-	EXPECT_EQ(MEMBER_ALIVE, Verdict("e2", "e1"));
-	EXPECT_EQ(MEMBER_ALIVE, Verdict("e0", "e2"));
+	EXPECT_EQ(MEMBER_SUSPECT, State("e2", "e1")); // only silent
+	nodes["e2"]->partitioned = false;
+	Run(2 * kSilence / kHeartbeat + 8); // both sides hear each other again
+	EXPECT_EQ(MEMBER_ALIVE, State("e2", "e1"));
+	EXPECT_EQ(MEMBER_ALIVE, State("e0", "e2"));
 }
 
-TEST_F(Member, LeavingAndLeftAreTakenAtTheirWord)
+TEST_F(Member, LeavingAndLeftAreAcceptedAsAnnounced)
 {
 	Cluster(3);
 	Run(5);
 	member_self(nodes["e1"]->m)->state = MEMBER_LEAVING;
 	Run(3);
-	EXPECT_EQ(MEMBER_LEAVING, Verdict("e0", "e1"));
+	EXPECT_EQ(MEMBER_LEAVING, State("e0", "e1"));
 	member_self(nodes["e1"]->m)->state = MEMBER_LEFT;
 	Run(3);
-	EXPECT_EQ(MEMBER_LEFT, Verdict("e0", "e1"));
+	EXPECT_EQ(MEMBER_LEFT, State("e0", "e1"));
 }
 
 TEST_F(Member, AnUnknownEntryIsDeadOnlyAfterTheRegistryWasRead)
 {
 	Cluster(2);
 	Run(10);
-	EXPECT_EQ(MEMBER_SUSPECT, Verdict("e0", "e77"));
+	EXPECT_EQ(MEMBER_SUSPECT, State("e0", "e77"));
 	member_registry_loaded(nodes["e0"]->m, now);
-	EXPECT_EQ(MEMBER_SUSPECT, Verdict("e0", "e77"));
+	EXPECT_EQ(MEMBER_SUSPECT, State("e0", "e77"));
 	Run(kSilence / kHeartbeat);
-	EXPECT_EQ(MEMBER_DEAD, Verdict("e0", "e77"));
+	EXPECT_EQ(MEMBER_DEAD, State("e0", "e77"));
 }
 
-TEST_F(Member, ShardsRevisionsAndTheStoreAreMadeKnown)
+TEST_F(Member, ShardsRevisionsAndStoreReachabilityArePropagated)
 {
 	size_t heard = 0, answered = 0;
 
 	Cluster(9);
 	member_own_shard(nodes["e3"]->m, "dc0.r1", 4);
-	member_own_shard(nodes["e5"]->m, "dc0.r1", 5); // took it over
+	member_own_shard(nodes["e5"]->m, "dc0.r1", 5); // took over the shard
 	member_self(nodes["e3"]->m)->revision = 42;
 	member_self(nodes["e3"]->m)->store_answers = true;
 	Run(20);
--- a/tests/test_outbox.cc
+++ b/tests/test_outbox.cc
@@ -9,18 +9,19 @@
 
 namespace {
 
-constexpr double kRate = 250000; // bytes a second: 2 Mbit/s
-constexpr double kShare = 0.9; // of the link, that is planned with
+constexpr double kRate = 250000; // bytes per second: 2 Mbit/s
+constexpr double kShare = 0.9; // of the link that the pacer may use
 constexpr int kMembers = 17;
-constexpr double kMessageBytes = 130; // headers, and who sends it
-constexpr double kLookBytes = 60;
+constexpr double kMessageBytes = 130; // headers and the sender
+constexpr double kPollBytes = 60;
 constexpr double kStartBytes = 150;
-constexpr double kBeatBytes = 280;
-constexpr int kBeatMs = 150;
-constexpr int kLooksPerSecond = 420;
+constexpr double kHeartbeatBytes = 280;
+constexpr int kHeartbeatMs = 150;
+constexpr int kPollsPerSecond = 420;
 
-// A leader that orders starts and looks through its members, with beats beside
-// them, over a link that sends so many bytes a millisecond and queues the rest.
+// A leader that sends orders for starts and polls through its members, and
+// heartbeats, over a link that transmits a fixed number of bytes per
+// millisecond and queues the rest.
 class LeaderLink {
       public:
 	explicit LeaderLink(double starts_per_s) : starts_per_s_(starts_per_s)
@@ -47,14 +48,14 @@
 		return messages_ * 1000.0 / now_;
 	}
 	double
-	MostQueuedMs() const
+	MaxQueuedMs() const
 	{
-		return most_queued_ / (kRate / 1000);
+		return max_queued_bytes_ / (kRate / 1000);
 	}
 	int64_t
-	LongestGathered() const
+	LongestBatchedMs() const
 	{
-		return longest_gathered_;
+		return longest_batched_ms_;
 	}
 
       private:
@@ -62,21 +63,21 @@
 	Send(double bytes)
 	{
 		pacer_consume(&pacer_, bytes, now_);
-		queued_ += bytes;
-		if (queued_ > most_queued_)
-			most_queued_ = queued_;
+		queued_bytes_ += bytes;
+		if (queued_bytes_ > max_queued_bytes_)
+			max_queued_bytes_ = queued_bytes_;
 	}
 
 	void
 	Order(double bytes)
 	{
-		if (Gathered() == 0)
-			gathered_since_ = now_;
+		if (BatchedBytes() == 0)
+			batched_since_ms_ = now_;
 		orders_[next_member_++ % kMembers] += bytes;
 	}
 
 	double
-	Gathered() const
+	BatchedBytes() const
 	{
 		double bytes = 0;
 
@@ -101,25 +102,27 @@
 	void
 	Step()
 	{
-		queued_ = queued_ > kRate / 1000 ? queued_ - kRate / 1000 : 0;
-		if (now_ % kBeatMs == 0) {
+		queued_bytes_ = queued_bytes_ > kRate / 1000 ?
+		    queued_bytes_ - kRate / 1000 :
+		    0;
+		if (now_ % kHeartbeatMs == 0) {
 			for (int i = 0; i < kMembers; i++)
-				Send(kBeatBytes);
+				Send(kHeartbeatBytes);
 		}
-		looks_due_ += kLooksPerSecond / 1000.0;
+		polls_due_ += kPollsPerSecond / 1000.0;
 		waiting_ += starts_per_s_ / 1000;
 		uint32_t allowed =
-		    outbox_start_budget(&outbox_, Gathered(), now_);
-		for (; looks_due_ >= 1; looks_due_--)
-			Order(kLookBytes);
+		    outbox_start_budget(&outbox_, BatchedBytes(), now_);
+		for (; polls_due_ >= 1; polls_due_--)
+			Order(kPollBytes);
 		for (; waiting_ >= 1 && allowed > 0; allowed--, waiting_--) {
 			Order(kStartBytes);
 			starts_++;
 		}
-		if (Gathered() == 0)
+		if (BatchedBytes() == 0)
 			return;
-		if (now_ - gathered_since_ > longest_gathered_)
-			longest_gathered_ = now_ - gathered_since_;
+		if (now_ - batched_since_ms_ > longest_batched_ms_)
+			longest_batched_ms_ = now_ - batched_since_ms_;
 		if (now_ >= outbox_flush_ms(&outbox_))
 			Flush();
 	}
@@ -128,9 +131,9 @@
 	struct outbox outbox_;
 	std::vector<double> orders_ = std::vector<double>(kMembers, 0.0);
 	int64_t now_ = 0;
-	int64_t gathered_since_ = 0, longest_gathered_ = 0;
-	double starts_per_s_, waiting_ = 0, looks_due_ = 0;
-	double queued_ = 0, most_queued_ = 0;
+	int64_t batched_since_ms_ = 0, longest_batched_ms_ = 0;
+	double starts_per_s_, waiting_ = 0, polls_due_ = 0;
+	double queued_bytes_ = 0, max_queued_bytes_ = 0;
 	int starts_ = 0, messages_ = 0, next_member_ = 0;
 };
 
@@ -143,21 +146,22 @@
 	return link.StartsPerSecond();
 }
 
-// What a link of 2 Mbit/s bears is found by offering it far too much.
+// The capacity of a link of 2 Mbit/s, measured under heavy overload.
 double
-MostStarts()
+LinkCapacity()
 {
 	return StartsAt(5000);
 }
 
 } // namespace
 
-// Jobs come faster than the leader's link takes their orders: callers get what
-// it bears, not less.  A leader that does less the more it is asked for would
-// leave a backlog, such as after a loss of power, to the end of the day.
-TEST(Outbox, AnOverloadedLinkServesAsMuchAsItBears)
+// Jobs arrive faster than the leader's link can transmit their orders: the
+// throughput must stay at the capacity of the link.  A leader whose throughput
+// falls with the load would keep a backlog, such as after a power loss, until
+// the end of the day.
+TEST(Outbox, AnOverloadedLinkRunsAtItsCapacity)
 {
-	double most = MostStarts();
+	double most = LinkCapacity();
 
 	for (double load : { 0.5, 1.0, 2.0, 4.0 }) {
 		double expected = load < 1 ? load * most : most;
@@ -167,43 +171,43 @@
 }
 
 // While starts wait for the link, headers of messages with one order each took
-// a third of it.  Orders that wait at least a moment share messages.
+// a third of it.  Orders are delayed so that they share messages.
 TEST(Outbox, OrdersShareMessagesWhileTheLinkIsFull)
 {
-	LeaderLink link(2 * MostStarts());
+	LeaderLink link(2 * LinkCapacity());
 
 	link.Run(20000);
 	EXPECT_LE(link.MessagesPerSecond(), kMembers * 1000.0 / 50);
 	EXPECT_GE(link.StartsPerSecond(), 600);
 }
 
-// Members depose a leader that they don't hear for 600 ms: what is queued on
-// the link before a beat must take far less, however much waits for it.
-TEST(Outbox, BeatsWaitBehindLittleAtAnyLoad)
+// Members depose a leader that they do not hear for 600 ms: the queue on the
+// link ahead of a heartbeat must take far less time, whatever the load.
+TEST(Outbox, HeartbeatsAreDelayedLittleAtAnyLoad)
 {
 	for (double load : { 0.5, 1.0, 2.0, 4.0 }) {
-		LeaderLink link(load * MostStarts());
+		LeaderLink link(load * LinkCapacity());
 
 		link.Run(20000);
-		EXPECT_LE(link.MostQueuedMs(), 300) << load;
+		EXPECT_LE(link.MaxQueuedMs(), 300) << load;
 	}
 }
 
-// A caller of a calm system must not pay for gathering; of a full one no more
-// than a small part of what its tasks wait anyway.
-TEST(Outbox, OrdersGoAtOnceOnACalmLink)
+// On an idle link batching must add no delay; on a full one only a small part
+// of the time that tasks wait anyway.
+TEST(Outbox, OrdersAreSentAtOnceOnAnIdleLink)
 {
-	LeaderLink calm(100), full(5000);
+	LeaderLink idle(100), full(5000);
 
-	calm.Run(20000);
+	idle.Run(20000);
 	full.Run(20000);
-	EXPECT_EQ(calm.LongestGathered(), 0);
-	EXPECT_LE(full.LongestGathered(), 100);
+	EXPECT_EQ(idle.LongestBatchedMs(), 0);
+	EXPECT_LE(full.LongestBatchedMs(), 100);
 }
 
-// Bytes that were gathered count as sent: with the same budget anew in each
-// step, one second's starts would be ordered in a moment.
-TEST(Outbox, GatheredOrdersCountAgainstTheBudget)
+// Batched bytes count as sent: if each step had the full budget, the starts of
+// one second would be ordered at once.
+TEST(Outbox, BatchedOrdersCountAgainstTheBudget)
 {
 	struct outbox outbox;
 	struct pacer pacer;
--- a/tests/test_outcome.cc
+++ b/tests/test_outcome.cc
@@ -25,16 +25,16 @@
 
 /*
  * All histories of up to three attempts, each with one of the four ends or
- * still open: the caller is told "not-run" only if no byte can have reached
- * an endpoint that didn't refuse, and a non-idempotent call is only sent
- * again in that case.
+ * still open: "not-run" is reported only if no byte can have reached an
+ * endpoint that did not refuse, and only then may a non-idempotent call be sent
+ * again.
  */
 TEST(Outcome, EveryHistoryOfThreeAttempts)
 {
 	constexpr int OPEN = 4, NEVER = 5, WAYS = 6;
 	for (int h = 0; h < WAYS * WAYS * WAYS * 2; h++) {
 		outcome_facts f = {};
-		bool doubt = false, complete = false;
+		bool unknown = false, complete = false;
 		int rest = h / 2;
 		f.idempotent = h % 2 == 1;
 		for (int i = 0; i < 3; i++, rest /= WAYS) {
@@ -42,7 +42,8 @@
 			if (way == NEVER)
 				continue;
 			outcome_sent(&f);
-			doubt |= way == OPEN || way == OUTCOME_ATTEMPT_UNKNOWN;
+			unknown |=
+			    way == OPEN || way == OUTCOME_ATTEMPT_UNKNOWN;
 			complete |= way == OUTCOME_ATTEMPT_COMPLETE;
 			if (way != OPEN)
 				outcome_ended(
@@ -51,13 +52,13 @@
 		outcome_answer a =
 		    outcome_derive(&f, OUTCOME_DEADLINE_PASSED, 1);
 		EXPECT_EQ(a.outcome,
-		    complete  ? OUTCOME_ANSWERED :
-			doubt ? OUTCOME_UNKNOWN :
-				OUTCOME_NOT_RUN);
-		EXPECT_EQ(a.status, complete ? 0 : doubt ? 504 : 503);
-		EXPECT_EQ(a.retry_after_s, complete || doubt ? 0 : 1);
+		    complete	? OUTCOME_ANSWERED :
+			unknown ? OUTCOME_UNKNOWN :
+				  OUTCOME_NOT_RUN);
+		EXPECT_EQ(a.status, complete ? 0 : unknown ? 504 : 503);
+		EXPECT_EQ(a.retry_after_s, complete || unknown ? 0 : 1);
 		EXPECT_EQ(outcome_may_send(&f),
-		    !complete && (f.idempotent || !doubt));
+		    !complete && (f.idempotent || !unknown));
 	}
 }
 
@@ -72,8 +73,9 @@
 }
 
 /*
- * A caller sends a payout, learns nothing, and repeats it; the repeat is
- * refused here.  "not-run" would be taken for the payout, which may have run.
+ * A caller sends a payout, gets no outcome, and repeats it; the repeat is
+ * refused here. "not-run" would be understood as the outcome of the payout,
+ * which may have run.
  */
 TEST(Outcome, RepeatedIsNeverNotRunButMayBeSent)
 {
--- a/tests/test_pacer.cc
+++ b/tests/test_pacer.cc
@@ -6,12 +6,13 @@
 
 namespace {
 
-constexpr double kRate = 250000; // bytes a second: 2 Mbit/s
+constexpr double kRate = 250000; // bytes per second: 2 Mbit/s
 
 } // namespace
 
-// A leader offers its link a multiple of what that bears.  What waits for the
-// bucket is sent at the link's rate, and never more than a burst beyond it.
+// A leader offers its link a multiple of its capacity.  What waits for the
+// token bucket is sent at the rate of the link, and never more than one burst
+// above it.
 TEST(Pacer, SendsAtTheRateOfTheLink)
 {
 	for (double load : { 0.5, 1.0, 2.0, 4.0 }) {
@@ -30,14 +31,15 @@
 			double queued = sent - kRate / 1000 * (double)now_ms;
 			most = queued > most ? queued : most;
 		}
-		double bears = 10 * kRate * (load < 1 ? load : 1);
-		EXPECT_GE(sent, 0.98 * bears) << load;
+		double capacity = 10 * kRate * (load < 1 ? load : 1);
+		EXPECT_GE(sent, 0.98 * capacity) << load;
 		EXPECT_LE(most, kRate * 0.1 + 500) << load;
 	}
 }
 
-// Beats and answers go whatever the bucket holds; the rest makes up for them.
-TEST(Pacer, WhatCannotWaitPutsItIntoDebt)
+// Heartbeats and answers are sent regardless of the tokens in the bucket; other
+// traffic compensates for them.
+TEST(Pacer, TrafficThatCannotWaitMakesTheBucketNegative)
 {
 	struct pacer p;
 
@@ -50,7 +52,7 @@
 	EXPECT_LE(pacer_available(&p, 100000), 25000);
 }
 
-TEST(Pacer, TimeThatStandsStillFillsNothing)
+TEST(Pacer, NoTokensAreAddedWithoutElapsedTime)
 {
 	struct pacer p;
 
--- a/tests/test_quota.cc
+++ b/tests/test_quota.cc
@@ -37,8 +37,10 @@
 	EXPECT_EQ(take("no_record", 1000, 0), 1000);
 }
 
-/* Three hundred and sixty teams over nine entries: no share becomes nothing,
- * and the entries together allow the rate. */
+/*
+ * 360 teams on nine entries: no share is rounded to zero, and the entries
+ * together allow the rate.
+ */
 TEST_F(Quota, SharesOfManyTeams)
 {
 	quota_set_entries(q, 9, 0);
--- a/tests/test_relay.cc
+++ b/tests/test_relay.cc
@@ -26,8 +26,8 @@
 {
 }
 
-// A leader with one member that carries its orders.
-class Carry : public ::testing::Test {
+// A leader with one member that relays its orders.
+class OrderRelay : public ::testing::Test {
       protected:
 	void
 	SetUp() override
@@ -51,7 +51,7 @@
 	void
 	TearDown() override
 	{
-		relay_close(carry_);
+		relay_close(relay_);
 		relay_writer_free(&member_.orders);
 		clock_resume();
 	}
@@ -59,13 +59,13 @@
 	void
 	Open()
 	{
-		carry_ = relay_open(&node_, OnLate, nullptr);
-		relay_enable(carry_, true);
-		relay_worker_ops(carry_, &ops_);
+		relay_ = relay_open(&node_, OnLate, nullptr);
+		relay_enable(relay_, true);
+		relay_worker_ops(relay_, &ops_);
 	}
 
 	void
-	Look()
+	Poll()
 	{
 		struct worker_poll order = {};
 
@@ -78,35 +78,36 @@
 	struct member member_ = {};
 	struct sched_worker worker_ = {};
 	struct worker_ops ops_ = {};
-	struct order_relay *carry_ = nullptr;
+	struct order_relay *relay_ = nullptr;
 };
 
 } // namespace
 
-TEST_F(Carry, GatheredOrdersAreCountedUntilTheyAreSent)
+TEST_F(OrderRelay, BatchedOrdersAreCountedUntilTheyAreSent)
 {
-	EXPECT_EQ(relay_pending_bytes(carry_), 0);
-	Look();
-	double one = relay_pending_bytes(carry_);
+	EXPECT_EQ(relay_pending_bytes(relay_), 0);
+	Poll();
+	double one = relay_pending_bytes(relay_);
 	EXPECT_GT(one, FRAME_BYTES);
-	Look();
-	EXPECT_GT(relay_pending_bytes(carry_), one);
-	// The second shares the message of the first.
-	EXPECT_LT(relay_pending_bytes(carry_), 2 * one);
+	Poll();
+	EXPECT_GT(relay_pending_bytes(relay_), one);
+	// The second order shares the message of the first.
+	EXPECT_LT(relay_pending_bytes(relay_), 2 * one);
 }
 
-// A caller's task would run twice: a start that was gathered in one term of
-// this entry goes out with the orders of its next term, and a worker takes it
-// for an order of that, while the task was given to another worker meanwhile.
-// What was gathered ends with the term, and is lost for the scheduler.
-TEST_F(Carry, OrdersGatheredInOneTermAreNotSentInTheNext)
+// Guards against a caller's task running twice: a start is batched in one term
+// of this entry and sent with the orders of its next term, so that a worker
+// accepts it as an order of that term, while the task was given to another
+// worker in the meantime.  Batched orders are dropped when the term ends, and
+// reported to the scheduler as lost.
+TEST_F(OrderRelay, OrdersBatchedInOneTermAreNotSentInTheNext)
 {
-	Look();
+	Poll();
 	EXPECT_EQ(member_.orders.n, 1u);
-	relay_close(carry_);
+	relay_close(relay_);
 	EXPECT_EQ(lost, 1);
 	node_.elect.leader.term++;
 	Open();
 	EXPECT_EQ(member_.orders.n, 0u);
-	EXPECT_EQ(relay_pending_bytes(carry_), 0);
+	EXPECT_EQ(relay_pending_bytes(relay_), 0);
 }
--- a/tests/test_relaywire.cc
+++ b/tests/test_relaywire.cc
@@ -9,8 +9,8 @@
 #include "relaywire.h"
 }
 
-// A message may claim four thousand million items: the decoder's request for
-// that much memory must fail as it does in the daemon, not end the test.
+// A message may announce about four billion items: the decoder's allocation
+// must fail as it does in the daemon, not abort the test.
 extern "C" const char *
 __asan_default_options()
 {
@@ -33,8 +33,8 @@
 	std::vector<struct poll_finished> finished;
 };
 
-// Both ends of a connection, and the lists that they keep of workers.
-class CarryWire : public ::testing::Test {
+// Both ends of a connection, and their running lists of workers.
+class RelayWire : public ::testing::Test {
       protected:
 	void
 	SetUp() override
@@ -59,7 +59,7 @@
 	OnOrder(const char *, const char *, uint64_t term,
 	    const struct relay_order *order, void *ctx)
 	{
-		auto self = static_cast<CarryWire *>(ctx);
+		auto self = static_cast<RelayWire *>(ctx);
 
 		self->orders.push_back({ *order, order->worker,
 		    order->checkpoint != nullptr ? order->checkpoint : "",
@@ -69,7 +69,7 @@
 	static void
 	OnAnswer(const struct relay_answer *answer, void *ctx)
 	{
-		auto self = static_cast<CarryWire *>(ctx);
+		auto self = static_cast<RelayWire *>(ctx);
 		Answer got;
 
 		got.answer = *answer;
@@ -94,7 +94,7 @@
 	Base(const char *worker, uint64_t number, void *ctx)
 	{
 		return running_list_find(
-		    &static_cast<CarryWire *>(ctx)->leader, worker, number);
+		    &static_cast<RelayWire *>(ctx)->leader, worker, number);
 	}
 
 	static struct poll_running
@@ -114,9 +114,9 @@
 		return row;
 	}
 
-	// The member writes the answer to a look whose order named that base.
+	// The member writes the answer to a poll whose order named that base.
 	void
-	WriteLook(uint64_t number, uint64_t base,
+	WritePoll(uint64_t number, uint64_t base,
 	    const std::vector<struct poll_running> &rows,
 	    const std::vector<struct poll_finished> &ends = {})
 	{
@@ -136,7 +136,7 @@
 		    &member, "i-1", number, rows.data(), rows.size(), 0);
 	}
 
-	// Bytes of the message; it is read unless it is lost on its way.
+	// Returns the size of the message, which is read unless it is lost.
 	size_t
 	Send(bool lost = false)
 	{
@@ -157,7 +157,7 @@
 
 } // namespace
 
-TEST_F(CarryWire, OrdersAreReadAsTheyWereWritten)
+TEST_F(RelayWire, OrdersAreReadAsTheyWereWritten)
 {
 	struct relay_order order;
 
@@ -211,21 +211,21 @@
 	EXPECT_EQ(writer.n, 0u);
 }
 
-// A member that reads each worker on behalf of the leader tells what changed:
-// progress, tails, checkpoints, tasks that came and went.
-TEST_F(CarryWire, RowsThatAreKnownTakeFewBytes)
+// A member that polls workers for the leader reports only changes: progress,
+// tail latencies, checkpoints, tasks that were added or removed.
+TEST_F(RelayWire, DeltaRowsTakeFewBytes)
 {
 	std::vector<struct poll_running> rows;
 
 	for (uint32_t i = 0; i < 8; i++)
 		rows.push_back(Row(i, "00000bb87a21d94b", 10, 3000));
-	WriteLook(1, 0, rows);
+	WritePoll(1, 0, rows);
 	size_t whole = Send();
 	for (auto &row : rows)
 		row.percent = 20;
-	WriteLook(2, 1, rows);
-	size_t known = Send();
-	EXPECT_LT(known * 4, whole);
+	WritePoll(2, 1, rows);
+	size_t delta = Send();
+	EXPECT_LT(delta * 4, whole);
 	ASSERT_EQ(answers.size(), 2u);
 	ASSERT_EQ(answers[1].running.size(), 8u);
 	EXPECT_EQ(answers[1].running[7].percent, 20);
@@ -233,11 +233,11 @@
 	EXPECT_EQ(answers[1].checkpoints[7], "00000bb87a21d94b");
 }
 
-TEST_F(CarryWire, RowsThatCameWentOrMovedAreTold)
+TEST_F(RelayWire, RowsAddedRemovedOrMovedAreReported)
 {
-	WriteLook(1, 0, { Row(1, "a", 1, 1), Row(2, "b", 2, 2) });
+	WritePoll(1, 0, { Row(1, "a", 1, 1), Row(2, "b", 2, 2) });
 	Send();
-	WriteLook(
+	WritePoll(
 	    2, 1, { Row(3, "", 0, 0), Row(2, "c", 3, 3), Row(1, "a", 1, 1) });
 	Send();
 	ASSERT_EQ(answers[1].running.size(), 3u);
@@ -248,17 +248,17 @@
 	EXPECT_EQ(answers[1].checkpoints[2], "a");
 }
 
-// An answer is lost between member and leader, so the two have different
-// lists.  The leader names the one that it has; taken for another, tasks would
-// be listed under the names of others.
-TEST_F(CarryWire, ALostAnswerMixesNoRows)
+// An answer is lost between member and leader, so that their running lists
+// differ.  The leader names the list that it has as the base; with another
+// base, tasks would be reported under the names of others.
+TEST_F(RelayWire, ALostAnswerMixesNoRows)
 {
-	WriteLook(1, 0, { Row(1, "a", 1, 1), Row(2, "b", 2, 2) });
+	WritePoll(1, 0, { Row(1, "a", 1, 1), Row(2, "b", 2, 2) });
 	Send();
-	WriteLook(2, 1, { Row(2, "b", 5, 5) });
+	WritePoll(2, 1, { Row(2, "b", 5, 5) });
 	Send(true);
 	ASSERT_EQ(running_list_number(&leader, "i-1"), 1u);
-	WriteLook(3, 1, { Row(2, "b", 6, 6) });
+	WritePoll(3, 1, { Row(2, "b", 6, 6) });
 	Send();
 	ASSERT_EQ(answers.size(), 2u);
 	ASSERT_EQ(answers[1].running.size(), 1u);
@@ -266,9 +266,9 @@
 	EXPECT_EQ(answers[1].checkpoints[0], "b");
 }
 
-// A late answer whose base the leader has replaced by now: its running tasks
-// can't be known, and count as not told; its ends do.
-TEST_F(CarryWire, WithoutTheBaseOnlyTheEndsCount)
+// A late answer whose base the leader has replaced since: its running tasks
+// can't be decoded and count as not reported; its ended tasks do count.
+TEST_F(RelayWire, WithoutTheBaseOnlyTheEndsCount)
 {
 	struct poll_finished end;
 
@@ -276,9 +276,9 @@
 	end.number = 58;
 	end.how = END_DONE;
 	end.checkpoint = "";
-	WriteLook(1, 0, { Row(1, "a", 1, 1) });
+	WritePoll(1, 0, { Row(1, "a", 1, 1) });
 	Send();
-	WriteLook(2, 1, { Row(1, "a", 2, 2) }, { end });
+	WritePoll(2, 1, { Row(1, "a", 2, 2) }, { end });
 	running_list_remove(&leader, "i-1");
 	Send();
 	ASSERT_EQ(answers.size(), 2u);
@@ -288,9 +288,9 @@
 	EXPECT_EQ(answers[1].finished[0].number, 58u);
 }
 
-TEST_F(CarryWire, AnotherVersionIsRefused)
+TEST_F(RelayWire, AnotherVersionIsRefused)
 {
-	WriteLook(1, 0, { Row(1, "a", 1, 1) });
+	WritePoll(1, 0, { Row(1, "a", 1, 1) });
 	ASSERT_TRUE(relay_write_answers(&writer, "e2", &message));
 	message.data[1]++;
 	EXPECT_FALSE(relay_read(message.data, message.size, &reader));
@@ -298,7 +298,7 @@
 	EXPECT_FALSE(relay_is_message("{\"t\":\"beat\"}", 12));
 }
 
-TEST_F(CarryWire, NoBytesEndTheProcess)
+TEST_F(RelayWire, NoBytesEndTheProcess)
 {
 	struct relay_order order;
 	std::mt19937 random(6);
@@ -313,9 +313,9 @@
 	relay_write_order(&writer, &order);
 	ASSERT_TRUE(relay_write_orders(&writer, "e1", "a", 7, &message));
 	orders_text.assign(message.data, message.size);
-	WriteLook(1, 0, { Row(1, "a", 1, 1), Row(2, "b", 2, 2) });
+	WritePoll(1, 0, { Row(1, "a", 1, 1), Row(2, "b", 2, 2) });
 	Send();
-	WriteLook(2, 1, { Row(1, "a", 3, 3), Row(2, "c", 2, 2) });
+	WritePoll(2, 1, { Row(1, "a", 3, 3), Row(2, "c", 2, 2) });
 	Send();
 	answers_text.assign(message.data, message.size);
 	for (int i = 0; i < 40000; i++) {
--- a/tests/test_response_cache.cc
+++ b/tests/test_response_cache.cc
@@ -8,14 +8,14 @@
 
 namespace {
 
-struct Kept : testing::Test {
+struct ResponseCache : testing::Test {
 	response_cache_options o = { 3, 2000, 1000 };
-	response_cache *k = response_cache_open(&o);
+	response_cache *cache = response_cache_open(&o);
 	cached_response found = {};
 
-	~Kept() override
+	~ResponseCache() override
 	{
-		response_cache_close(k);
+		response_cache_close(cache);
 	}
 
 	void
@@ -24,19 +24,19 @@
 	{
 		cached_response a = { 200, "text/plain", body.data(),
 			body.size() };
-		response_cache_put(k, id, hash, &a, now_ms);
+		response_cache_put(cache, id, hash, &a, now_ms);
 	}
 
 	std::string
 	get(const char *id, uint64_t hash, int64_t now_ms)
 	{
-		if (response_cache_get(k, id, hash, now_ms, &found) != 0)
+		if (response_cache_get(cache, id, hash, now_ms, &found) != 0)
 			return "none";
 		return std::string(found.body, found.len);
 	}
 };
 
-TEST_F(Kept, SameRequestOnlyAndForAWhile)
+TEST_F(ResponseCache, SameRequestOnlyAndForAWhile)
 {
 	put("p1", 7, std::string("a\0b", 3), 0);
 	EXPECT_EQ(get("p1", 7, 999), std::string("a\0b", 3));
@@ -46,7 +46,7 @@
 	EXPECT_EQ(get("p1", 7, 1000), "none");
 }
 
-TEST_F(Kept, BoundedByNumberAndBytes)
+TEST_F(ResponseCache, BoundedByNumberAndBytes)
 {
 	for (int i = 0; i < 5; i++)
 		put(std::to_string(i).c_str(), 1, "x", i);
@@ -60,8 +60,8 @@
 	EXPECT_EQ(get("big", 1, 7).size(), 1500U);
 }
 
-/* Every part of the request counts, and parts don't run into each other. */
-TEST(KeptHash, TellsRequestsApart)
+/* Every part of the request is hashed, and the parts are delimited. */
+TEST(ResponseCacheHash, TellsRequestsApart)
 {
 	const response_cache_key keys[] = { { "a", "t", "s", "b", 1 },
 		{ "at", "", "s", "b", 1 }, { "a", "t", "sb", "", 0 },
--- a/tests/test_route.cc
+++ b/tests/test_route.cc
@@ -45,7 +45,7 @@
 	{
 		routes_free(&routes);
 	}
-	// The number of the member; that of no member: SIZE_MAX.
+	// Returns the index of the member, or SIZE_MAX if there is none.
 	size_t
 	Choose(const std::string &worker, int64_t now_ms = 1000)
 	{
@@ -71,10 +71,10 @@
 	EXPECT_EQ(fleet.Choose("w1"), first);
 }
 
-// A member is cut from a worker but not from the leader.  Its calls are lost
-// one after the other; the leader must get through before what runs on the
-// worker lapses, and must not send the next call over the cut again once it
-// got through.
+// A member is partitioned from a worker but not from the leader.  Its calls are
+// lost one after the other; the leader must reach the worker through another
+// member before the leases there expire, and must not return to the first
+// member once a call was answered.
 TEST(Route, MovesAfterLossesInARowAndStaysThere)
 {
 	Fleet fleet({ 0.25, 0.25, 0.25, 0.25, 0.25, 0.25 }, 6);
@@ -90,8 +90,8 @@
 	EXPECT_EQ(fleet.Choose("w1", 30000), last);
 }
 
-// One worker that answers nobody must not move the others: each move costs
-// new connections, and workers reset those over their cap.
+// A worker that answers no call must not move the others: each move costs new
+// connections, and workers reset connections over their limit.
 TEST(Route, LossesOfOneWorkerMoveNoOther)
 {
 	Fleet fleet({ 0.25, 0.12, 0.5 }, 3);
@@ -141,10 +141,11 @@
 	EXPECT_EQ(fleet.Choose("w1", 121000), first);
 }
 
-// Workers of half a data center lose their calls.  A leader that weighs all
-// members for each call, and walks all workers that lost one for each member,
-// has no time left for its beats and is deposed; the next one does the same.
-TEST(Route, LostCallsMakeNoCallDearer)
+// Calls to the workers of half a data centre are lost.  A leader that evaluates
+// all members for each call, and scans all workers with lost calls for each
+// member, has no time left for its heartbeats and is deposed; so is the next
+// one.
+TEST(Route, LostCallsRaiseNoCostPerCall)
 {
 	Fleet fleet(std::vector<double>(97, 0.12), 20);
 
@@ -161,9 +162,9 @@
 	EXPECT_EQ(fleet.routes.evaluations, before);
 }
 
-// A member that lost an order rests: its workers go to the next best, and are
-// back once it may be used again.
-TEST(Route, WorkersComeBackToAMemberThatRested)
+// A member that lost an order is not used for a while: its workers are moved to
+// the next best, and return once it is usable again.
+TEST(Route, WorkersReturnToAMemberThatIsUsableAgain)
 {
 	Fleet fleet({ 0.25, 0.25, 0.25 }, 3);
 	size_t first = fleet.Choose("w1");
--- a/tests/test_shard.cc
+++ b/tests/test_shard.cc
@@ -43,11 +43,11 @@
 }
 
 /*
- * Every combination of what is known of an owner.  Only the home takes;
- * silence alone or a lapsed lease alone never replace it, and an entry that no
- * peer answers waits for twice the silence.
+ * Every combination of what is known about an owner.  Only the home takes over.
+ * Silence alone or an expired lease alone never suffices, and an entry that
+ * hears no peer waits for twice the silence.
  */
-TEST(Shard, TakesOnlyOnTwoWitnessesOrAWord)
+TEST(Shard, TakesOverOnlyOnTwoSourcesOrAnAnnouncement)
 {
 	for (int bits = 0; bits < 512; bits++) {
 		struct shard_owner owner = {};
@@ -57,21 +57,21 @@
 		owner.left = bits & 16;
 		owner.vm_gone = bits & 32;
 		owner.registered = bits & 64;
-		bool enough = bits & 128;
+		bool silent_enough = bits & 128;
 		owner.silent_ms = bits & 256 ? 10000 : 5000;
-		owner.silent_ms -= enough ? 0 : 1;
-		bool word =
+		owner.silent_ms -= silent_enough ? 0 : 1;
+		bool certain =
 		    owner.none || owner.self || owner.left || owner.vm_gone;
-		bool witnesses = !owner.registered &&
+		bool two_sources = !owner.registered &&
 		    owner.silent_ms >= (alone ? 10000 : 5000);
 		EXPECT_EQ(shard_evaluate(&options, &owner, is_home, alone) !=
 			SHARD_NO_TAKEOVER,
-		    is_home && (word || witnesses))
+		    is_home && (certain || two_sources))
 		    << bits;
 	}
 }
 
-TEST(Shard, MovesOnlyToAHomeThatLasts)
+TEST(Shard, MovesOnlyToAStableHome)
 {
 	struct shard_home_watch watch = {};
 
--- a/tests/test_share.cc
+++ b/tests/test_share.cc
@@ -16,7 +16,10 @@
 	return { { cpu, SHARE_UNLIMITED, SHARE_UNLIMITED }, tasks };
 }
 
-/* Shards that bind alone, each as far as it may, keep the team's limit. */
+/*
+ * Shards bind independently, each up to its share, and together keep the team's
+ * limit.
+ */
 TEST(Share, AllShardsTogetherKeepTheLimit)
 {
 	const struct resources one = { 1000, 10, 0 };
@@ -41,7 +44,7 @@
 				EXPECT_LE(sum * 1000, cpu);
 				continue;
 			}
-			/* What division leaves over is less than a share. */
+			/* The remainder is less than the number of shards. */
 			EXPECT_GT(sum + (int64_t)n, tasks);
 		}
 	}
--- a/tests/test_submit.cc
+++ b/tests/test_submit.cc
@@ -121,7 +121,7 @@
 		Decode(Mutate(random, kJob));
 }
 
-TEST(World, RoutesByHostAndLongestPrefix)
+TEST(PlatformConfig, RoutesByHostAndLongestPrefix)
 {
 	struct platform_config *w = platform_config_open();
 	const struct entry_config *config;
@@ -140,7 +140,7 @@
 	EXPECT_EQ(len, strlen("/p/q/"));
 	EXPECT_EQ(platform_config_route(w, "other", "/p/1", &len), nullptr);
 	EXPECT_EQ(platform_config_route(w, "h.example", "/x", &len), nullptr);
-	// An older version, which a slow read may bring, changes nothing.
+	// An older version, as a slow read may return it, is ignored.
 	EXPECT_EQ(ops.config(ops.self, "op/config", kConfig, strlen(kConfig)),
 	    nullptr);
 	EXPECT_EQ(ops.config(ops.self, "op/wave/1", kConfig, strlen(kConfig)),
@@ -148,7 +148,7 @@
 	platform_config_close(w);
 }
 
-TEST(World, ReadsAWorker)
+TEST(PlatformConfig, ReadsAWorker)
 {
 	struct platform_config *w = platform_config_open();
 	struct worker_info info;
@@ -168,7 +168,7 @@
 	platform_config_close(w);
 }
 
-TEST(World, NoBytesEndTheProcess)
+TEST(PlatformConfig, NoBytesEndTheProcess)
 {
 	struct platform_config *w = platform_config_open();
 	std::mt19937 random(2);
