--- a/tests/handover_fixture.h
+++ b/tests/handover_fixture.h
@@ -18,8 +18,8 @@
 #include "node.h"
 }
 
-constexpr int64_t kStep = 50, kWay = 5, kOrderTimeout = 400;
-constexpr int64_t kLease = 5000, kSlowClock = 2; // per cent
+constexpr int64_t kStepMs = 50, kOneWayMs = 5, kOrderTimeoutMs = 400;
+constexpr int64_t kLeaseMs = 5000, kClockSlowPercent = 2;
 
 struct Item {
 	std::string value;
@@ -29,23 +29,24 @@
 struct Run {
 	uint32_t attempt;
 	int64_t since_ms;
-	int64_t ends_ms; // done then; 0: it lasts
+	int64_t ends_ms; // when it is done; 0: long-running, it doesn't end
 };
 
-// A run that is done; told with each look until acknowledged.
+// A completed run; reported in each poll until acknowledged.
 struct End {
 	uint64_t number;
 	std::string name;
 	uint32_t attempt;
 };
 
-// A worker's own clock is slow by kSlowClock; its lease is measured on it.
+// A worker's clock is slow by kClockSlowPercent; its lease is measured on this
+// clock.
 struct Worker {
 	bool listed = false;
 	bool draining = false;
-	int64_t leaves_ms = 0; // as it says while it drains
+	int64_t leaves_ms = 0; // as announced while it drains
 	bool reachable = true;
-	int64_t lease = 0; // on its clock
+	int64_t lease = 0; // its end, on the worker's clock
 	uint64_t token = 0;
 	std::map<std::string, Run> runs;
 	uint64_t last_end = 0;
@@ -54,11 +55,12 @@
 	static int64_t
 	Clock(int64_t now_ms)
 	{
-		return now_ms * (100 - kSlowClock) / 100;
+		return now_ms * (100 - kClockSlowPercent) / 100;
 	}
 };
 
-// One entry at a time, with a store and workers that outlive it.
+// Runs one or more entries, with a simulated store and workers that outlive
+// them.
 class Handover : public ::testing::Test {
       protected:
 	void
@@ -86,7 +88,7 @@
 		clock_resume();
 	}
 
-	// An entry that has just started; the first one leads.
+	// Starts an entry; the first one becomes the leader.
 	struct node *
 	Open(const char *id = "e1", double power = 1)
 	{
@@ -101,16 +103,16 @@
 		options.data_center = "here";
 		options.power = power;
 		options.link_bytes_per_s = 125e6;
-		options.lease_max_ms = kLease;
+		options.lease_max_ms = kLeaseMs;
 		options.keep_ms = keep_ms;
 		options.harm_ms = 4000;
 		options.kv = { this, Get, Range, Watch, Txn, AnsweredMs,
 			FailedMs };
-		options.workers = { this, Start, Stop, Pace, Look };
+		options.workers = { this, Start, Stop, Pace, Poll };
 		options.platform = { this, "c/", "w/", Config, WorkerEntry,
 			WorkerId };
-		// Below the ports that the system gives to clients; other
-		// programs on the machine may have one.
+		// Use ports below the range that the system gives to clients;
+		// other programs on the machine may occupy some of them.
 		for (int i = 0; i < 20 && opened == nullptr; i++) {
 			options.port = 20000 + (getpid() + ports++) % 10000;
 			opened = node_open(&options, &error);
@@ -120,12 +122,12 @@
 		return opened;
 	}
 
-	// Killed: it tells nobody.  All calls are answered once, also when
-	// nobody listens any more.
+	// Simulates a kill: no entry notifies anybody.  All pending calls are
+	// answered once, also when nobody waits for the answer any more.
 	void
 	Close()
 	{
-		CloseLeft();
+		CloseLeaving();
 		while (!nodes.empty()) {
 			node_close(nodes.back());
 			nodes.pop_back();
@@ -138,7 +140,8 @@
 		closing = false;
 	}
 
-	// One that follows is killed; its own calls are answered in time.
+	// Kills an entry that follows the leader; its own calls are answered
+	// in time.
 	void
 	Kill(struct node *node)
 	{
@@ -146,9 +149,10 @@
 		nodes.erase(std::find(nodes.begin(), nodes.end(), node));
 	}
 
-	// The leader is told to stop: it resigns, and the next one takes over.
+	// Stops the leader gracefully: it resigns, and another entry takes
+	// over.
 	void
-	Leave()
+	ResignLeader()
 	{
 		node_leave(
 		    nodes.front(), [](void *) {}, nullptr);
@@ -157,7 +161,7 @@
 	}
 
 	void
-	CloseLeft()
+	CloseLeaving()
 	{
 		for (struct node *node : leaving)
 			node_close(node);
@@ -181,27 +185,27 @@
 		}
 	}
 
-	// kStep of the paused clock, in which the entry's timers run.
+	// Advances the paused clock by kStepMs and runs the entries' timers.
 	void
 	Step()
 	{
-		clock_advance(kStep);
+		clock_advance(kStepMs);
 		uv_update_time(&loop);
 		for (int i = 0; i < 4; i++) {
 			Deliver(clock_now_ms());
 			uv_run(&loop, UV_RUN_NOWAIT);
-			uv_sleep(turn_ms);
+			uv_sleep(loop_turn_ms);
 		}
 		for (auto &[id, worker] : workers) {
-			Lapse(worker);
-			EndRuns(worker);
+			ExpireLease(worker);
+			CompleteRuns(worker);
 		}
-		WatchTasks();
+		TrackAbsences();
 	}
 
-	// Runs whose time has come are done.
+	// Completes the runs whose run time is over.
 	static void
-	EndRuns(Worker &worker)
+	CompleteRuns(Worker &worker)
 	{
 		for (auto run = worker.runs.begin();
 		     run != worker.runs.end();) {
@@ -216,9 +220,10 @@
 		}
 	}
 
-	// How long each task that ran once has been away.
+	// Tracks how long each long-running task that has run once has been
+	// absent.
 	void
-	WatchTasks()
+	TrackAbsences()
 	{
 		for (auto &[id, worker] : workers) {
 			for (auto &[name, run] : worker.runs) {
@@ -227,8 +232,8 @@
 			}
 		}
 		for (auto &[name, at] : seen_ms)
-			longest_away =
-			    std::max(longest_away, clock_now_ms() - at);
+			longest_absence_ms =
+			    std::max(longest_absence_ms, clock_now_ms() - at);
 	}
 
 	void
@@ -251,7 +256,8 @@
 		Put("w/" + id, id);
 	}
 
-	// The worker says that it leaves, and in how long at the earliest.
+	// The worker announces that it drains, and the earliest time of its
+	// departure.
 	void
 	Drain(const std::string &id, int64_t leaves_in_ms = 0)
 	{
@@ -260,9 +266,9 @@
 		Put("w/" + id, id);
 	}
 
-	// The worker ends without a sign, and with it what ran there.
+	// The worker ends without notice, together with its runs.
 	void
-	WorkerGone(const std::string &id)
+	LoseWorker(const std::string &id)
 	{
 		workers[id].listed = false;
 		workers[id].reachable = false;
@@ -271,9 +277,10 @@
 		revision++;
 	}
 
-	// The entry can't reach it any more; what runs there goes on.
+	// The worker becomes unreachable for the entry and leaves the
+	// registry; its runs go on.
 	void
-	CutOff(const std::string &id)
+	MakeUnreachable(const std::string &id)
 	{
 		workers[id].reachable = false;
 		workers[id].listed = false;
@@ -281,7 +288,8 @@
 		revision++;
 	}
 
-	// A job of tasks that are to last, or that are done after so long.
+	// Submits a job whose tasks run without end (run_ms 0), or complete
+	// after run_ms.
 	void
 	Submit(const std::string &id, uint32_t count, int64_t cpu = 1000,
 	    int64_t run_ms = 0)
@@ -302,7 +310,8 @@
 		    nodes.front(), g, clock_now_ms() + 3000, Replied, this);
 	}
 
-	// One leader and one worker, which runs so many tasks that last.
+	// Starts one leader and one worker, which runs this many long-running
+	// tasks.
 	void
 	RunOnFirst(uint32_t count)
 	{
@@ -323,7 +332,7 @@
 		return n;
 	}
 
-	// One task a worker, and no room beside it.
+	// Fills each worker with one task.
 	void
 	FillWorkers()
 	{
@@ -335,22 +344,23 @@
 		ASSERT_EQ(Running(), kWorkers);
 	}
 
-	// Each worker says that it leaves, goes three gaps later, and another
-	// one comes in its place.
+	// Each worker announces that it drains and leaves three gaps later,
+	// and a new worker takes its place.
 	void
 	ReplaceWorkers(const std::function<void(int64_t)> &each)
 	{
-		constexpr int64_t kGap = 700, kNotice = 3 * kGap;
-		constexpr int64_t kAll = 16000;
+		constexpr int64_t kGapMs = 700, kNoticeMs = 3 * kGapMs;
+		constexpr int64_t kAllMs = 16000;
 
-		for (int64_t past = 0; past < kAll; past += kStep) {
-			int64_t i = past / kGap, left = (past - kNotice) / kGap;
-			bool now = past % kGap == 0;
+		for (int64_t past = 0; past < kAllMs; past += kStepMs) {
+			int64_t i = past / kGapMs,
+				left = (past - kNoticeMs) / kGapMs;
+			bool now = past % kGapMs == 0;
 			if (now && i < static_cast<int64_t>(kWorkers))
 				Drain("w" + std::to_string(i));
-			if (now && past >= kNotice &&
+			if (now && past >= kNoticeMs &&
 			    left < static_cast<int64_t>(kWorkers)) {
-				WorkerGone("w" + std::to_string(left));
+				LoseWorker("w" + std::to_string(left));
 				AddWorker("new" + std::to_string(left));
 			}
 			if (left >= static_cast<int64_t>(kWorkers) &&
@@ -361,7 +371,8 @@
 		}
 	}
 
-	// Pass time until so many tasks run; how long it took.
+	// Steps until n tasks run or the time is over; returns the time that
+	// passed.
 	int64_t
 	PassUntilRunning(size_t n, int64_t at_most_ms,
 	    const std::function<void(int64_t)> &each = nullptr)
@@ -369,7 +380,7 @@
 		int64_t past;
 
 		for (past = 0; past < at_most_ms && Running() < n;
-		     past += kStep) {
+		     past += kStepMs) {
 			if (each != nullptr)
 				each(past);
 			Step();
@@ -377,9 +388,9 @@
 		return past;
 	}
 
-	// What outlived its lease is killed by its worker.
+	// A worker kills its runs once its lease has expired.
 	static void
-	Lapse(Worker &worker)
+	ExpireLease(Worker &worker)
 	{
 		if (Worker::Clock(clock_now_ms()) >= worker.lease)
 			worker.runs.clear();
@@ -437,7 +448,7 @@
 		Handover *self = Self(ctx);
 		std::string key = key_text;
 
-		self->At(kWay, [=] {
+		self->At(kOneWayMs, [=] {
 			std::vector<std::string> keys;
 			if (self->items.count(key))
 				keys.push_back(key);
@@ -454,7 +465,7 @@
 
 		self->reads[prefix]++;
 
-		self->At(kWay, [=] {
+		self->At(kOneWayMs, [=] {
 			std::vector<std::string> keys;
 			bool more = false;
 			for (auto &[key, item] : self->items) {
@@ -470,14 +481,15 @@
 			self->Reply(done, done_ctx, KV_OK, keys, more);
 		});
 	}
-	// History is always gone: the entry reads everything again.
+	// The history is always compacted, so the entry reads everything
+	// again.
 	static void
 	Watch(void *ctx, const char *, int64_t, int64_t, kv_done *done,
 	    void *done_ctx)
 	{
 		Handover *self = Self(ctx);
 
-		self->At(kWay,
+		self->At(kOneWayMs,
 		    [=] { self->Reply(done, done_ctx, KV_COMPACTED, {}); });
 	}
 	static void
@@ -496,7 +508,7 @@
 			    std::string(txn->puts[i].value, txn->puts[i].len));
 		for (size_t i = 0; i < txn->nremoves; i++)
 			removes.emplace_back(txn->removes[i]);
-		self->At(kWay, [=] {
+		self->At(kOneWayMs, [=] {
 			std::vector<std::string> keys;
 			bool holds = true;
 			if (self->store_down) {
@@ -542,19 +554,20 @@
 		return 0;
 	}
 
-	// Workers.
+	// The workers.
 
-	// Carry an order out, and answer it; one out of reach never answers.
+	// Carries out an order and answers it; an order to an unreachable
+	// worker times out.
 	void
 	Order(const struct worker_order &order, worker_done *done,
 	    void *done_ctx, const std::function<void(Worker &)> &act,
-	    bool look = false)
+	    bool is_poll = false)
 	{
 		std::string id = order.worker->id;
 		uint64_t term = order.term;
 
 		if (!workers[id].reachable) {
-			At(kOrderTimeout, [=, this] {
+			At(kOrderTimeoutMs, [=, this] {
 				struct worker_result lost;
 				memset(&lost, 0, sizeof(lost));
 				lost.answer = ANSWER_LOST;
@@ -562,7 +575,7 @@
 			});
 			return;
 		}
-		At(kWay, [=, this] {
+		At(kOneWayMs, [=, this] {
 			Worker &worker = workers[id];
 			struct worker_result result;
 			struct poll_result list;
@@ -607,7 +620,7 @@
 			}
 			list.finished = finished.data();
 			list.nfinished = finished.size();
-			if (look && result.answer == ANSWER_OK)
+			if (is_poll && result.answer == ANSWER_OK)
 				result.poll = &list;
 			done(&result, done_ctx);
 		});
@@ -627,9 +640,10 @@
 		    task->job, name.substr(0, dot).c_str(), sizeof(task->job));
 		task->index = (uint32_t)std::stoul(name.substr(dot + 1));
 	}
-	// When a task that starts now is done; 0: it lasts.
+	// When a task that starts now is done; 0: long-running, it doesn't
+	// end.
 	int64_t
-	EndOf(const std::string &name) const
+	EndTime(const std::string &name) const
 	{
 		auto found = run_times.find(name.substr(0, name.find('.')));
 
@@ -649,12 +663,12 @@
 		self->Order(start->order, done, done_ctx, [=](Worker &worker) {
 			for (auto &[id, other] : self->workers) {
 				if (other.runs.count(name))
-					self->doubles++;
+					self->duplicate_runs++;
 			}
 			if (worker.draining)
 				self->starts_draining++;
 			worker.runs[name] = { attempt, clock_now_ms(),
-				self->EndOf(name) };
+				self->EndTime(name) };
 			if (deadline > worker.lease)
 				worker.lease = deadline;
 		});
@@ -675,7 +689,7 @@
 		Self(ctx)->Order(*order, done, done_ctx, [](Worker &) {});
 	}
 	static void
-	Look(void *ctx, const struct worker_poll *look, worker_done *done,
+	Poll(void *ctx, const struct worker_poll *look, worker_done *done,
 	    void *done_ctx)
 	{
 		struct worker_order order = { look->worker, nullptr, 0,
@@ -696,7 +710,7 @@
 		    true);
 	}
 
-	// How the world writes things down.
+	// Formats of the configuration and the worker registry.
 
 	static const struct entry_config *
 	Config(void *ctx, const char *, const char *, size_t)
@@ -710,7 +724,7 @@
 		const char *id = key + strlen("w/");
 
 		if (std::string(value, len) != id)
-			return false; // of another writer
+			return false; // written by someone else
 		strlcpy(info->id, id, sizeof(info->id));
 		strlcpy(info->service, "s", sizeof(info->service));
 		info->capacity = { 8000, 8000, 0 };
@@ -736,19 +750,21 @@
 	}
 
 	uv_loop_t loop;
-	std::vector<struct node *> nodes; // the first one leads
+	std::vector<struct node *> nodes; // the first one is the leader
 	std::vector<struct node *> leaving;
 	int ports = 0;
-	// The loop turns four times a step.  Messages between entries take
-	// real time, so they seem slow unless a step takes as long as it says.
-	unsigned int turn_ms = 6;
+	// The event loop runs four times per step.  Messages between entries
+	// take real time, so they appear slow unless a step takes about as
+	// long in real time as on the paused clock.
+	unsigned int loop_turn_ms = 6;
 	bool closing = false, store_down = false;
 	int64_t keep_ms = 100000;
-	size_t page = 1000; // items of a range at once
+	// Maximum number of items in the response to a range read.
+	size_t page = 1000;
 	std::map<std::string, int> reads; // of ranges, by prefix
-	// Called as a write that only removes is about to be done; all but
-	// KV_OK is what its sender hears: KV_UNAVAILABLE without its being
-	// done, KV_UNKNOWN though it is.
+	// Called before a transaction that only removes keys.  The sender
+	// receives any result but KV_OK as its answer: KV_UNAVAILABLE without
+	// the removal being done, KV_UNKNOWN although it is done.
 	std::function<enum kv_error(const std::vector<std::string> &)>
 	    before_removal;
 	struct queue_config queue = {};
@@ -759,14 +775,14 @@
 	std::multimap<int64_t, std::function<void()>> events;
 	std::map<std::string, int64_t> run_times; // by job, of those that end
 	std::map<std::string, int64_t> seen_ms;
-	int64_t longest_away = 0;
-	int accepted = 0, refused = 0, doubles = 0, starts_draining = 0;
+	int64_t longest_absence_ms = 0;
+	int accepted = 0, refused = 0, duplicate_runs = 0, starts_draining = 0;
 	int64_t retry_after_ms = 0; // of the last refusal
 
-	// The users' bound on how long a task that lasts may be away.
-	static constexpr int64_t kAwayMax = 9000;
-	// From then on an absence counts, if it goes on.
-	static constexpr int64_t kAwayCounts = 6000;
+	// The users' limit on the absence of a long-running task.
+	static constexpr int64_t kAbsenceMaxMs = 9000;
+	// Absences shorter than this don't count for the users.
+	static constexpr int64_t kAbsenceCountsMs = 6000;
 	static constexpr size_t kWorkers = 8;
 };
 
--- a/tests/mutate.h
+++ b/tests/mutate.h
@@ -4,7 +4,7 @@
 #include <random>
 #include <string>
 
-// The text with a few bytes changed, cut or doubled.
+// Returns the text with a few bytes replaced, removed, duplicated or inserted.
 inline std::string
 Mutate(std::mt19937 &random, std::string text)
 {
--- a/tests/sched_crash_fixture.h
+++ b/tests/sched_crash_fixture.h
@@ -5,53 +5,55 @@
 
 #include "sched_fixture.h"
 
-// Workers that go down, and come back at their address as another life.
-class SchedCrash : public SchedPlay {
+// Workers that crash and come back at their address as a new incarnation.
+class SchedCrash : public SchedSim {
       protected:
-	// The tasks of these jobs take each worker down that starts them.
-	std::set<std::string> crashers;
-	int64_t back_ms = 3300; // until the next life
-	bool answers_first = true; // a worker answers the start, then crashes
+	// Jobs whose tasks crash each worker that starts them.
+	std::set<std::string> crashing_jobs;
+	// Time from a crash to the next incarnation.
+	int64_t restart_delay_ms = 3300;
+	// A worker answers the start before it crashes.
+	bool answers_first = true;
 
 	void
 	JoinAll(int n, int64_t cpu)
 	{
-		room_cpu = cpu;
+		capacity_cpu = cpu;
 		for (int i = 0; i < n; i++)
 			JoinAt("10.0.0." + std::to_string(i));
 	}
 
-	// Play, with the crashes that starts bring and those given to Crash().
+	// Like Simulate(), with the crashes caused by starts and by Crash().
 	void
-	PlayCrashes(int64_t for_ms)
+	SimulateCrashes(int64_t for_ms)
 	{
 		for (int64_t end = now + for_ms; now < end;) {
 			size_t before = started.size();
 			if (!answers_first)
-				for (auto &m : at)
-					m.second.to_start = ANSWER_LOST;
-			Play(50);
+				for (auto &m : sim)
+					m.second.start_answer = ANSWER_LOST;
+			Simulate(50);
 			for (size_t i = before; i < started.size(); i++)
-				if (crashers.count(started[i].task.job))
+				if (crashing_jobs.count(started[i].task.job))
 					Crash(started[i].worker);
-			ComeBack();
+			ReturnWorkers();
 		}
 	}
 
 	void
 	Crash(const std::string &id)
 	{
-		Machine &m = at[id];
+		SimWorker &m = sim[id];
 
 		if (!m.reachable)
 			return;
 		m.reachable = false;
 		m.running.clear();
 		m.ended.clear();
-		returns.emplace(now + back_ms, id);
+		returns.emplace(now + restart_delay_ms, id);
 	}
 
-	// The next leader, which finds the same workers.
+	// Starts the next leader, which finds the same workers.
 	void
 	Restart()
 	{
@@ -60,25 +62,25 @@
 		options.taken_ms = now;
 		s = sched_open(&options);
 		started.clear();
-		Forget();
-		for (auto &m : at) {
+		DropPendingOrders();
+		for (auto &m : sim) {
 			if (!m.second.reachable)
 				continue;
 			struct sched_worker *w =
 			    sched_worker_get(s, m.first.c_str());
 			strlcpy(w->address, addresses[m.first].c_str(),
 			    sizeof(w->address));
-			AddWorker(m.first.c_str(), room_cpu);
+			AddWorker(m.first.c_str(), capacity_cpu);
 		}
 	}
 
-	// A worker that is up, by a number that the test draws.
+	// A worker that is up, selected by a number that the test draws.
 	std::string
 	AnyUp(unsigned number)
 	{
 		std::vector<std::string> up;
 
-		for (auto &m : at)
+		for (auto &m : sim)
 			if (m.second.reachable)
 				up.push_back(m.first);
 		return up[number % up.size()];
@@ -100,7 +102,7 @@
 		return sched_job_state_name(sched_job_find(s, job)->state);
 	}
 
-	// A job whose tasks last.
+	// A job with long-running tasks.
 	struct graph *
 	Lasting(const char *id, uint32_t count, int64_t cpu)
 	{
@@ -114,15 +116,15 @@
 	void
 	JoinAt(const std::string &address)
 	{
-		std::string id = "w" + std::to_string(lives++);
+		std::string id = "w" + std::to_string(incarnations++);
 		struct sched_worker *w = sched_worker_get(s, id.c_str());
 
 		strlcpy(w->address, address.c_str(), sizeof(w->address));
-		Join(id.c_str(), room_cpu);
+		Join(id.c_str(), capacity_cpu);
 	}
 
 	void
-	ComeBack()
+	ReturnWorkers()
 	{
 		while (!returns.empty() && returns.begin()->first <= now) {
 			std::string id = returns.begin()->second;
@@ -131,12 +133,12 @@
 			std::string address = addresses[id];
 
 			returns.erase(returns.begin());
-			at[id].gone = true;
+			sim[id].replaced = true;
 			if (w != nullptr)
 				sched_worker_unlisted(s, w, now);
 			JoinAt(address);
 		}
-		for (auto &m : at) {
+		for (auto &m : sim) {
 			struct sched_worker *w =
 			    sched_worker_find(s, m.first.c_str());
 			if (w != nullptr)
@@ -144,8 +146,8 @@
 		}
 	}
 
-	int64_t room_cpu = 0;
-	int lives = 0;
+	int64_t capacity_cpu = 0;
+	int incarnations = 0;
 	std::multimap<int64_t, std::string> returns;
 	std::map<std::string, std::string> addresses;
 };
--- a/tests/sched_fixture.h
+++ b/tests/sched_fixture.h
@@ -25,15 +25,15 @@
 	enum blame blame;
 };
 
-// The scheduler with its actions noted.
+// Runs a scheduler and records its actions.
 class Sched : public ::testing::Test {
       protected:
 	void
 	SetUp() override
 	{
-		actions = { OnStart, OnStop, OnPace, OnLook, OnRecord,
-			OnUnknown, OnLapsed, OnLost, OnForgetWorker, OnSave,
-			OnForget, OnDeposed };
+		actions = { OnStart, OnStop, OnPace, OnPoll, OnRecord,
+			OnUnknown, OnLeaseExpired, OnLost, OnForgetWorker,
+			OnSave, OnForget, OnDeposed };
 		memset(&options, 0, sizeof(options));
 		options.term = 1;
 		options.taken_ms = now;
@@ -92,14 +92,15 @@
 		return w;
 	}
 
-	// The record of the last leader names the worker, and what may run
-	// there, if that is known.
+	// Adds a worker from the record of the last leader, with the tasks
+	// that may run there if they are known.
 	struct sched_worker *
-	Inherit(const char *id, enum worker_record record, int64_t left_ms = 0,
+	Inherit(const char *id, enum worker_record record,
+	    int64_t lease_left_ms = 0,
 	    const std::vector<task_name> *tasks = nullptr)
 	{
 		struct sched_worker *w = sched_worker_get(s, id);
-		struct sched_inherited from = { record, left_ms,
+		struct sched_inherited from = { record, lease_left_ms,
 			tasks != nullptr,
 			tasks != nullptr ? tasks->data() : nullptr,
 			tasks != nullptr ? tasks->size() : 0 };
@@ -108,7 +109,7 @@
 		return w;
 	}
 
-	// The worker answers a look with these lists.
+	// Answers a poll of the worker with these lists.
 	void
 	Answer(struct sched_worker *w,
 	    const std::vector<poll_running> &running = {},
@@ -120,25 +121,26 @@
 		sched_poll_answered(s, w, ANSWER_OK, &result, now);
 	}
 
-	// Act, and let every worker that is asked say that nothing runs.
+	// Calls sched_act() and answers every poll with an empty list, so that
+	// all polled workers are fenced.
 	void
 	Fence()
 	{
 		sched_act(s, now);
-		for (auto &id : std::vector<std::string>(looked))
+		for (auto &id : std::vector<std::string>(polled))
 			Answer(sched_worker_find(s, id.c_str()));
-		looked.clear();
+		polled.clear();
 		now += 10;
 		sched_act(s, now);
 	}
 
-	// All workers but "other" leave their looks without an answer.
+	// Answers the polls of "other"; those of all other workers time out.
 	void
 	OnlyOtherAnswers(int64_t for_ms)
 	{
 		for (int64_t end = now + for_ms; now < end; now += 50) {
 			sched_act(s, now);
-			for (auto &id : std::vector<std::string>(looked)) {
+			for (auto &id : std::vector<std::string>(polled)) {
 				struct sched_worker *asked =
 				    sched_worker_find(s, id.c_str());
 				if (id == "other")
@@ -147,12 +149,12 @@
 					sched_poll_answered(s, asked,
 					    ANSWER_LOST, nullptr, now);
 			}
-			looked.clear();
+			polled.clear();
 		}
 	}
 
 	void
-	AllStarted()
+	ConfirmStarts()
 	{
 		for (auto &o : started)
 			sched_start_answered(s,
@@ -160,9 +162,9 @@
 			    o.attempt, ANSWER_OK, now, now);
 	}
 
-	// What was started, as a worker lists it.
+	// The started tasks, as rows of a worker's list.
 	std::vector<poll_running>
-	AtWork() const
+	RunningRows() const
 	{
 		std::vector<poll_running> rows;
 
@@ -210,11 +212,11 @@
 		Self(ctx)->paced.push_back({ o, percent });
 	}
 	static void
-	OnLook(struct sched *, struct sched_worker *w, int64_t deadline,
+	OnPoll(struct sched *, struct sched_worker *w, int64_t deadline,
 	    int64_t wait, void *ctx)
 	{
-		Self(ctx)->waits[w->id] = wait;
-		Self(ctx)->looked.push_back(w->id);
+		Self(ctx)->poll_waits[w->id] = wait;
+		Self(ctx)->polled.push_back(w->id);
 		Self(ctx)->renewed = deadline;
 	}
 	static void
@@ -229,7 +231,7 @@
 		Self(ctx)->unknown.push_back(job);
 	}
 	static void
-	OnLapsed(struct sched *, struct sched_worker *, size_t, void *)
+	OnLeaseExpired(struct sched *, struct sched_worker *, size_t, void *)
 	{
 	}
 	static void
@@ -269,16 +271,18 @@
 	std::vector<Order> started, stopped;
 	std::vector<Loss> lost;
 	std::vector<std::pair<Order, int>> paced;
-	std::vector<std::string> looked, unknown;
-	std::vector<std::string> resumed_from; // by each of started
-	std::map<std::string, int64_t> waits; // of the last look at each
+	std::vector<std::string> polled, unknown;
+	std::vector<std::string> resumed_from; // for each of started
+	// Wait time of the last poll, by worker.
+	std::map<std::string, int64_t> poll_waits;
 	bool deposed = false, store_slow = false;
-	int64_t renewed = 0; // by the last look, on the worker's clock; 0: not
+	// Lease end sent by the last poll, on the worker's clock; 0: none.
+	int64_t renewed = 0;
 };
 
-// The same with workers that carry orders out, on a clock that the test moves.
-// Looks are answered at once, and ends stay listed until acknowledged.
-class SchedPlay : public Sched {
+// Adds workers that carry out orders, on a clock that the test advances. Polls
+// are answered at once, and ends stay listed until acknowledged.
+class SchedSim : public Sched {
       protected:
 	struct Running {
 		Order order;
@@ -289,24 +293,27 @@
 		Order order;
 		enum run_end how;
 	};
-	struct Machine {
+	struct SimWorker {
 		bool reachable = true;
-		bool gone = false; // another life answers at its address
-		bool hears_stops = true; // else they are lost on the way
-		bool still = false; // its tasks make no progress
-		int slow = 1; // tasks take so many times as long
-		int tail_ms = 0; // of serving tasks
-		enum worker_answer to_start = ANSWER_OK;
-		int64_t late_ms = 0; // lost starts are carried out then
+		// Another incarnation answers at its address.
+		bool replaced = false;
+		// If not, stop orders are lost on the way.
+		bool receives_stops = true;
+		bool no_progress = false; // its tasks make no progress
+		int slowdown = 1; // factor by which tasks take longer
+		int tail_ms = 0; // tail latency of serving tasks
+		enum worker_answer start_answer = ANSWER_OK;
+		// Delay after which lost starts are carried out; 0: never.
+		int64_t start_delay_ms = 0;
 		uint64_t last_end = 0;
-		std::vector<Running> running, late;
+		std::vector<Running> running, delayed;
 		std::vector<Ended> ended;
 	};
 
 	struct sched_worker *
 	Join(const char *id, int64_t cpu)
 	{
-		at[id];
+		sim[id];
 		return AddWorker(id, cpu);
 	}
 
@@ -319,13 +326,13 @@
 		    true, now + 10000, now);
 	}
 
-	// All that goes on in so many milliseconds.
+	// Simulates the workers and the scheduler for this time.
 	void
-	Play(int64_t for_ms)
+	Simulate(int64_t for_ms)
 	{
 		for (int64_t end = now + for_ms; now < end;) {
 			now += 50;
-			for (auto &m : at)
+			for (auto &m : sim)
 				Advance(m.second);
 			sched_act(s, now);
 			struct sched_job *job;
@@ -340,13 +347,13 @@
 				sched_pace_answered(s, Find(o), &o.task,
 				    o.attempt, ANSWER_OK, now);
 			}
-			for (auto &id : std::vector<std::string>(looked))
-				AnswerLook(id);
-			looked.clear();
+			for (auto &id : std::vector<std::string>(polled))
+				AnswerPoll(id);
+			polled.clear();
 		}
 	}
 
-	// Stops sent for a task since the given number of stops.
+	// Number of stops sent for a task, from index since of stopped on.
 	size_t
 	StopsOf(const Order &o, size_t since = 0) const
 	{
@@ -354,7 +361,7 @@
 
 		for (size_t i = since; i < stopped.size(); i++)
 			if (stopped[i].worker == o.worker &&
-			    Same(stopped[i], o))
+			    SameAttempt(stopped[i], o))
 				n++;
 		return n;
 	}
@@ -364,13 +371,13 @@
 	{
 		size_t n = 0;
 
-		for (auto &m : at)
+		for (auto &m : sim)
 			n += m.second.running.size();
 		return n;
 	}
 
 	static bool
-	Same(const Order &a, const Order &b)
+	SameAttempt(const Order &a, const Order &b)
 	{
 		return strcmp(a.task.job, b.task.job) == 0 &&
 		    a.task.occurrence == b.task.occurrence &&
@@ -379,25 +386,26 @@
 	}
 
 	void
-	EndRun(Machine &m, size_t i, enum run_end how)
+	EndRun(SimWorker &m, size_t i, enum run_end how)
 	{
 		m.ended.push_back({ ++m.last_end, m.running[i].order, how });
 		m.running.erase(m.running.begin() + static_cast<long>(i));
 	}
 
-	// What was ordered of the last scheduler.
+	// Drops the orders of the last scheduler that are not carried out yet.
 	void
-	Forget()
+	DropPendingOrders()
 	{
 		starts_done = started.size();
 		stops_done = stopped.size();
 		paces_done = paced.size();
-		looked.clear();
+		polled.clear();
 	}
 
-	std::map<std::string, Machine> at;
-	std::map<std::string, int64_t> run_ms; // by job; else without end
-	std::vector<int64_t> start_times; // of started
+	std::map<std::string, SimWorker> sim;
+	// Run time of tasks, by job; tasks of other jobs don't end.
+	std::map<std::string, int64_t> run_ms;
+	std::vector<int64_t> start_times; // for each of started
 
       private:
 	struct sched_worker *
@@ -407,19 +415,20 @@
 	}
 
 	void
-	Advance(Machine &m)
+	Advance(SimWorker &m)
 	{
-		for (size_t i = m.late.size(); i-- > 0;) {
-			if (m.late[i].begun_ms > now)
+		for (size_t i = m.delayed.size(); i-- > 0;) {
+			if (m.delayed[i].begun_ms > now)
 				continue;
-			m.running.push_back(m.late[i]);
-			m.late.erase(m.late.begin() + static_cast<long>(i));
+			m.running.push_back(m.delayed[i]);
+			m.delayed.erase(
+			    m.delayed.begin() + static_cast<long>(i));
 		}
 		for (size_t i = m.running.size(); i-- > 0;) {
 			auto length = run_ms.find(m.running[i].order.task.job);
-			if (!m.still && length != run_ms.end() &&
+			if (!m.no_progress && length != run_ms.end() &&
 			    now - m.running[i].begun_ms >=
-				length->second * m.slow)
+				length->second * m.slowdown)
 				EndRun(m, i, END_DONE);
 		}
 	}
@@ -427,15 +436,15 @@
 	void
 	CarryOutStart(const Order &o)
 	{
-		Machine &m = at[o.worker];
+		SimWorker &m = sim[o.worker];
 		enum worker_answer answer =
-		    m.reachable ? m.to_start : ANSWER_LOST;
+		    m.reachable ? m.start_answer : ANSWER_LOST;
 
 		start_times.push_back(now);
 		if (answer == ANSWER_OK)
 			m.running.push_back({ o, now });
-		else if (answer == ANSWER_LOST && m.late_ms > 0)
-			m.late.push_back({ o, now + m.late_ms });
+		else if (answer == ANSWER_LOST && m.start_delay_ms > 0)
+			m.delayed.push_back({ o, now + m.start_delay_ms });
 		sched_start_answered(
 		    s, Find(o), &o.task, o.attempt, answer, now, now);
 	}
@@ -443,45 +452,45 @@
 	void
 	CarryOutStop(const Order &o)
 	{
-		Machine &m = at[o.worker];
-		bool heard = m.reachable && m.hears_stops;
+		SimWorker &m = sim[o.worker];
+		bool heard = m.reachable && m.receives_stops;
 
 		for (size_t i = m.running.size(); heard && i-- > 0;)
-			if (Same(m.running[i].order, o))
+			if (SameAttempt(m.running[i].order, o))
 				EndRun(m, i, END_STOPPED);
-		for (size_t i = m.late.size(); heard && i-- > 0;)
-			if (Same(m.late[i].order, o))
-				m.late.erase(
-				    m.late.begin() + static_cast<long>(i));
+		for (size_t i = m.delayed.size(); heard && i-- > 0;)
+			if (SameAttempt(m.delayed[i].order, o))
+				m.delayed.erase(
+				    m.delayed.begin() + static_cast<long>(i));
 		sched_stop_answered(s, Find(o), &o.task, o.attempt,
 		    heard ? ANSWER_OK : ANSWER_LOST, now, now);
 	}
 
 	int
-	Percent(const Machine &m, const Running &r) const
+	Percent(const SimWorker &m, const Running &r) const
 	{
 		auto length = run_ms.find(r.order.task.job);
 
 		if (length == run_ms.end())
 			return 100;
-		return m.still ? 40 :
-				 static_cast<int>((now - r.begun_ms) * 100 /
-				     (length->second * m.slow));
+		return m.no_progress ? 40 :
+				       static_cast<int>((now - r.begun_ms) *
+					   100 / (length->second * m.slowdown));
 	}
 
 	void
-	AnswerLook(const std::string &id)
+	AnswerPoll(const std::string &id)
 	{
 		struct sched_worker *w = sched_worker_find(s, id.c_str());
 		std::vector<poll_running> rows;
 		std::vector<poll_finished> ends;
-		Machine &m = at[id];
+		SimWorker &m = sim[id];
 
 		if (w == nullptr)
 			return;
-		if (m.gone || !m.reachable) {
+		if (m.replaced || !m.reachable) {
 			sched_poll_answered(s, w,
-			    m.gone ? ANSWER_OTHER_INCARNATION : ANSWER_LOST,
+			    m.replaced ? ANSWER_OTHER_INCARNATION : ANSWER_LOST,
 			    nullptr, now);
 			return;
 		}
--- a/tests/sched_world.cc
+++ b/tests/sched_world.cc
@@ -6,18 +6,20 @@
 
 namespace {
 
-constexpr int64_t kTick = 10, kWay = 3, kOrderTimeout = 400;
-constexpr int64_t kLease = 5000, kFormer = 2000, kStop = 50;
-constexpr int64_t kHoldMax = 10000; // workers cut longer leases to it
-constexpr int64_t kRefresh = 250; // of the record, while a lease runs out
+constexpr int64_t kTickMs = 10, kOneWayMs = 3, kOrderTimeoutMs = 400;
+constexpr int64_t kLeaseMs = 5000, kFormerMs = 2000, kStopMs = 50;
+constexpr int64_t kHoldMaxMs = 10000; // workers cut longer leases to this
+constexpr int64_t kRefreshMs = 250; // of expiring rows of the record
 constexpr int kMaxAttempts = 3, kWorkers = 4;
-constexpr int64_t kRoom = 4000; // of a worker, in thousandths of a processor
-constexpr int64_t kShrinkKnown = 1500; // a leader is told within this
-constexpr int64_t kShrinkSlack = 4100; // and keeps to it after this
-constexpr int64_t kCrashAfter = 10;
+// Capacity of a worker, in thousandths of a processor.
+constexpr int64_t kCapacityMillis = 4000;
+constexpr int64_t kShrinkToldMs = 1500; // maximum delay until leaders are told
+// After this time starts must respect the new capacity.
+constexpr int64_t kShrinkGraceMs = 4100;
+constexpr int64_t kCrashAfterMs = 10;
 
 Leader *
-Of(void *ctx)
+LeaderOf(void *ctx)
 {
 	return static_cast<Leader *>(ctx);
 }
@@ -25,14 +27,14 @@
 void
 OnStart(struct sched *, struct sched_run *run, void *ctx)
 {
-	Of(ctx)->world->Start(Of(ctx), run);
+	LeaderOf(ctx)->world->Start(LeaderOf(ctx), run);
 }
 
 void
 OnStop(struct sched *, struct sched_worker *worker,
     const struct task_name *task, uint32_t attempt, void *ctx)
 {
-	Of(ctx)->world->Stop(Of(ctx), worker->id, *task, attempt);
+	LeaderOf(ctx)->world->Stop(LeaderOf(ctx), worker->id, *task, attempt);
 }
 
 void
@@ -41,27 +43,27 @@
 }
 
 void
-OnLook(struct sched *, struct sched_worker *worker, int64_t deadline,
+OnPoll(struct sched *, struct sched_worker *worker, int64_t deadline,
     int64_t wait_ms, void *ctx)
 {
-	Of(ctx)->world->Look(
-	    Of(ctx), worker->id, deadline, wait_ms, worker->acknowledged);
+	LeaderOf(ctx)->world->Poll(
+	    LeaderOf(ctx), worker->id, deadline, wait_ms, worker->acknowledged);
 }
 
 void
 OnRecord(struct sched *, struct sched_worker *worker, void *ctx)
 {
-	Of(ctx)->world->Record(Of(ctx), worker);
+	LeaderOf(ctx)->world->Record(LeaderOf(ctx), worker);
 }
 
 void
 OnUnknown(struct sched *, const char *job, void *ctx)
 {
-	Of(ctx)->world->Unknown(Of(ctx), job);
+	LeaderOf(ctx)->world->Unknown(LeaderOf(ctx), job);
 }
 
 void
-OnLapsed(struct sched *, struct sched_worker *, size_t, void *)
+OnLeaseExpired(struct sched *, struct sched_worker *, size_t, void *)
 {
 }
 
@@ -78,7 +80,7 @@
 void
 OnSave(struct sched *, void *ctx)
 {
-	Of(ctx)->world->Save(Of(ctx));
+	LeaderOf(ctx)->world->Save(LeaderOf(ctx));
 }
 
 void
@@ -89,12 +91,12 @@
 void
 OnDeposed(struct sched *, void *ctx)
 {
-	Of(ctx)->alive = false;
+	LeaderOf(ctx)->alive = false;
 }
 
-const struct sched_actions kActions = { OnStart, OnStop, OnPace, OnLook,
-	OnRecord, OnUnknown, OnLapsed, OnLost, OnForgetWorker, OnSave, OnForget,
-	OnDeposed };
+const struct sched_actions kActions = { OnStart, OnStop, OnPace, OnPoll,
+	OnRecord, OnUnknown, OnLeaseExpired, OnLost, OnForgetWorker, OnSave,
+	OnForget, OnDeposed };
 
 } // namespace
 
@@ -105,17 +107,17 @@
 	    std::to_string(t.step) + "." + std::to_string(t.index);
 }
 
-World::World(unsigned seed, const Faults &faults, Lax lax)
-    : random_(seed), faults_(faults), lax_(lax)
+World::World(unsigned seed, const Faults &faults, Defect defect)
+    : random_(seed), faults_(faults), defect_(defect)
 {
 	for (int i = 0; i < kWorkers; i++) {
 		auto worker = std::make_unique<Worker>();
-		worker->id = "w" + std::to_string(lives_++);
-		worker->place = i;
+		worker->id = "w" + std::to_string(incarnations_++);
+		worker->host = i;
 		worker->capacity = { 4000, 4000, 0 };
 		worker->listed = worker->capacity;
 		if (faults.slow_clocks)
-			worker->slow = 0.005 * i;
+			worker->clock_slowdown = 0.005 * i;
 		workers_.push_back(std::move(worker));
 	}
 	TakeOver();
@@ -142,7 +144,7 @@
 void
 World::Deliver(double late_share, std::function<void()> event)
 {
-	int64_t delay = kWay;
+	int64_t delay = kOneWayMs;
 
 	if (Chance(late_share))
 		delay = 2000 +
@@ -151,9 +153,10 @@
 }
 
 void
-World::Break(const std::string &what, const std::string &about)
+World::AddViolation(const std::string &what, const std::string &about)
 {
-	broken.push_back(what + " " + about + " at " + std::to_string(now_ms));
+	violations.push_back(
+	    what + " " + about + " at " + std::to_string(now_ms));
 }
 
 Worker *
@@ -212,27 +215,28 @@
 	jobs_[id] = { submitted_[id], ++revision_ };
 	free(text);
 	graph_free(g);
-	// The entry that stored it tells whom it takes for the leader: maybe
-	// the former one first, which doesn't know that it was replaced.
+	// The entry that stored the job notifies the entry that it takes for
+	// the leader.  This may first be the former leader, which doesn't know
+	// that it was replaced.
 	if (leaders_.size() > 1 && Chance(0.8))
-		Tell(leaders_[leaders_.size() - 2].get(), id);
-	At(now_ms + kWay +
+		NotifyJob(leaders_[leaders_.size() - 2].get(), id);
+	At(now_ms + kOneWayMs +
 		std::uniform_int_distribution<int64_t>(0, 300)(random_),
-	    [this, id] { TellUntilKnown(id); });
+	    [this, id] { NotifyUntilKnown(id); });
 }
 
-// By when it was stored: in the first kFormer of the term, or later.
+// Whether the job was stored in the first kFormerMs of the term or later.
 enum sched_origin
 World::OriginOf(const Leader *leader, const std::string &id) const
 {
-	return leader->settled_revision != 0 &&
-		jobs_.at(id).revision > leader->settled_revision ?
+	return leader->overlap_end_revision != 0 &&
+		jobs_.at(id).revision > leader->overlap_end_revision ?
 	    ORIGIN_NEW :
 	    ORIGIN_OVERLAP;
 }
 
 void
-World::Tell(Leader *leader, const std::string &id)
+World::NotifyJob(Leader *leader, const std::string &id)
 {
 	if (leader->sched != nullptr && now_ms >= leader->ready_ms &&
 	    jobs_.count(id) &&
@@ -242,13 +246,13 @@
 }
 
 void
-World::TellUntilKnown(const std::string &id)
+World::NotifyUntilKnown(const std::string &id)
 {
 	Leader *leader = leaders_.back().get();
 
-	Tell(leader, id);
+	NotifyJob(leader, id);
 	if (leader->sched == nullptr || now_ms < leader->ready_ms)
-		At(now_ms + 300, [this, id] { TellUntilKnown(id); });
+		At(now_ms + 300, [this, id] { NotifyUntilKnown(id); });
 }
 
 void
@@ -257,7 +261,8 @@
 	auto leader = std::make_unique<Leader>();
 	struct sched_options options;
 
-	// The former leader doesn't know yet; its messages are on their way.
+	// The former leader doesn't know yet that it was replaced; its
+	// messages are still in flight.
 	if (!leaders_.empty()) {
 		Leader *former = leaders_.back().get();
 		At(now_ms +
@@ -270,8 +275,8 @@
 	leader->term = ++term_;
 	options.term = term_;
 	options.taken_ms = now_ms;
-	options.lease_ms = kLease;
-	options.former_ms = kFormer;
+	options.lease_ms = kLeaseMs;
+	options.former_ms = kFormerMs;
 	options.keep_ms = 1000000;
 	options.harm_ms = 4000;
 	options.seed = 1;
@@ -280,8 +285,9 @@
 	leader->sched = sched_open(&options);
 	if (Chance(faults_.silent)) {
 		Worker *worker = workers_[random_() % workers_.size()].get();
-		worker->deaf_from = 0;
-		At(now_ms + 6000, [worker] { worker->deaf_from = UINT64_MAX; });
+		worker->unreachable_from_term = 0;
+		At(now_ms + 6000,
+		    [worker] { worker->unreachable_from_term = UINT64_MAX; });
 	}
 	for (const auto &[id, row] : recorded_) {
 		struct sched_inherited from = { row.record, row.left_ms,
@@ -294,13 +300,13 @@
 	for (auto &[id, job] : jobs_) {
 		struct sched_job *loaded = sched_job_add(
 		    leader->sched, Graph(id), now_ms, ORIGIN_INHERITED, now_ms);
-		if (progress_.count(id) && lax_ != Lax::ForgetProgress)
+		if (progress_.count(id) && defect_ != Defect::ForgetProgress)
 			codec_read_progress(
 			    loaded, progress_[id].data(), progress_[id].size());
 		leader->revisions[id] = progress_revision_[id];
 	}
 	sched_load_end(leader->sched, now_ms);
-	// Reading takes time, in which the former one goes on.
+	// Loading takes time, during which the former leader keeps acting.
 	leader->ready_ms =
 	    now_ms + std::uniform_int_distribution<int64_t>(50, 300)(random_);
 	leaders_.push_back(std::move(leader));
@@ -320,31 +326,33 @@
 {
 	struct resources used = size;
 	std::string name = NameOf(task);
-	TaskFacts &facts = facts_[name];
+	TaskHistory &history = history_[name];
 
 	for (auto &[other, run] : worker.runs)
 		used.cpu_millis += run.size.cpu_millis;
 	int64_t room = worker.capacity.cpu_millis;
-	if (now_ms < worker.roomy_until_ms)
-		room = std::max(room, kRoom);
+	if (now_ms < worker.full_capacity_until_ms)
+		room = std::max(room, kCapacityMillis);
 	if (used.cpu_millis > room)
-		Break("over capacity", worker.id);
-	if (facts.crashes >= 3 && ++facts.starts_after >= 3)
-		Break("crashes workers without end", name);
-	if (facts.running > 0)
-		Break("runs twice", name);
-	if (facts.done_noted)
-		Break("started after it was done", name);
-	if (facts.failed_noted >= kMaxAttempts)
-		Break("tried too often", name);
+		AddViolation("over capacity", worker.id);
+	if (history.crashes >= 3 && ++history.starts_after >= 3)
+		AddViolation("restarted although it crashes its workers", name);
+	if (history.running > 0)
+		AddViolation("started while it was running", name);
+	if (history.done_noted)
+		AddViolation("started after it was done", name);
+	if (history.failed_noted >= kMaxAttempts)
+		AddViolation("exceeded the attempt limit", name);
 	if (task.step > 0) {
 		struct task_name before = task;
 		before.step--;
 		struct graph *g = Graph(task.job);
 		for (uint32_t i = 0; i < g->steps[before.step].count; i++) {
 			before.index = i;
-			if (!facts_[NameOf(before)].done)
-				Break("started too early", name);
+			if (!history_[NameOf(before)].done)
+				AddViolation(
+				    "started before the previous step was done",
+				    name);
 		}
 		graph_free(g);
 	}
@@ -381,34 +389,36 @@
 		enum worker_answer answer = ANSWER_OK;
 		if (!Reaches(leader, worker))
 			return;
-		bool fenced = term < worker->token && lax_ != Lax::NoFence;
+		bool fenced =
+		    term < worker->token && defect_ != Defect::NoFence;
 		worker->token = std::max(worker->token, term);
-		auto over = worker->over.find(name);
+		auto highest_ended = worker->highest_ended.find(name);
 		if (fenced)
 			answer = ANSWER_FENCED;
 		else if (deadline <= ClockOf(*worker) &&
-		    lax_ != Lax::NoLateGuard)
+		    defect_ != Defect::NoLateGuard)
 			answer = ANSWER_LATE;
-		else if (over != worker->over.end() &&
-		    attempt <= over->second && lax_ != Lax::NoLateGuard)
+		else if (highest_ended != worker->highest_ended.end() &&
+		    attempt <= highest_ended->second &&
+		    defect_ != Defect::NoLateGuard)
 			answer = ANSWER_OLD;
 		else if (worker->runs.count(name) == 0) {
 			CheckStart(*worker, task, size);
-			facts_[name].running++;
+			history_[name].running++;
 			worker->runs[name] = { attempt,
 				now_ms + 100 +
 				    static_cast<int64_t>(random_() % 900),
 				Chance(faults_.failing), false, size, 0 };
 			worker->lease_ms = std::max(worker->lease_ms, deadline);
-			if (name.rfind(kCrasher, 0) == 0)
-				At(now_ms + kCrashAfter,
+			if (name.rfind(kCrasherPrefix, 0) == 0)
+				At(now_ms + kCrashAfterMs,
 				    [this, worker] { Replace(*worker); });
 		}
 		int64_t clock = ClockOf(*worker);
 		if (!answer_lost)
-			At(now_ms + kWay, [=] { reply(answer, clock); });
+			At(now_ms + kOneWayMs, [=] { reply(answer, clock); });
 	});
-	At(now_ms + kOrderTimeout, [=] { reply(ANSWER_LOST, 0); });
+	At(now_ms + kOrderTimeoutMs, [=] { reply(ANSWER_LOST, 0); });
 }
 
 void
@@ -435,54 +445,55 @@
 		std::string name = NameOf(task);
 		if (!Reaches(leader, worker))
 			return;
-		bool fenced = term < worker->token && lax_ != Lax::NoFence;
+		bool fenced =
+		    term < worker->token && defect_ != Defect::NoFence;
 		worker->token = std::max(worker->token, term);
 		if (!fenced) {
 			auto run = worker->runs.find(name);
-			worker->over[name] =
-			    std::max(worker->over[name], attempt);
+			worker->highest_ended[name] =
+			    std::max(worker->highest_ended[name], attempt);
 			if (run != worker->runs.end() &&
 			    run->second.attempt <= attempt &&
 			    !run->second.stopping) {
 				run->second.stopping = true;
-				run->second.stop_ms = now_ms + kStop;
+				run->second.stop_ms = now_ms + kStopMs;
 			}
 		}
 		int64_t clock = ClockOf(*worker);
 		if (!answer_lost)
-			At(now_ms + kWay, [=] {
+			At(now_ms + kOneWayMs, [=] {
 				reply(
 				    fenced ? ANSWER_FENCED : ANSWER_OK, clock);
 			});
 	});
-	At(now_ms + kOrderTimeout, [=] { reply(ANSWER_LOST, 0); });
+	At(now_ms + kOrderTimeoutMs, [=] { reply(ANSWER_LOST, 0); });
 }
 
 void
-World::Noted(const End &end)
+World::NoteEnd(const End &end)
 {
-	TaskFacts &facts = facts_[NameOf(end.task)];
+	TaskHistory &history = history_[NameOf(end.task)];
 
 	if (end.how == END_DONE)
-		facts.done_noted = true;
+		history.done_noted = true;
 	if (end.how == END_FAILED)
-		facts.failed_noted++;
+		history.failed_noted++;
 }
 
 void
-World::Look(Leader *leader, const std::string &id, int64_t deadline,
+World::Poll(Leader *leader, const std::string &id, int64_t deadline,
     int64_t wait_ms, uint64_t acknowledged)
 {
 	uint64_t term = leader->term;
 	bool answer_lost = Chance(faults_.lost);
 	auto answered = std::make_shared<bool>(false);
 
-	if (lax_ == Lax::AckUnsaved) {
+	if (defect_ == Defect::AckUnsaved) {
 		Worker *worker = Find(id);
 		if (worker != nullptr)
 			acknowledged = worker->next_number - 1;
 	}
-	At(now_ms + wait_ms + kOrderTimeout, [=, this] {
+	At(now_ms + wait_ms + kOrderTimeoutMs, [=, this] {
 		if (*answered || leader->sched == nullptr)
 			return;
 		*answered = true;
@@ -492,18 +503,19 @@
 			sched_poll_answered(leader->sched, worker, ANSWER_LOST,
 			    nullptr, now_ms);
 	});
-	At(now_ms + kWay, [=, this] {
+	At(now_ms + kOneWayMs, [=, this] {
 		Worker *worker = Find(id);
 		if (!Reaches(leader, worker))
 			return;
-		bool fenced = term < worker->token && lax_ != Lax::NoFence;
+		bool fenced =
+		    term < worker->token && defect_ != Defect::NoFence;
 		worker->token = std::max(worker->token, term);
 		if (!fenced) {
 			worker->lease_ms = std::max(worker->lease_ms,
-			    std::min(deadline, ClockOf(*worker) + kHoldMax));
+			    std::min(deadline, ClockOf(*worker) + kHoldMaxMs));
 			while (!worker->ends.empty() &&
 			    worker->ends.front().number <= acknowledged) {
-				Noted(worker->ends.front());
+				NoteEnd(worker->ends.front());
 				worker->ends.erase(worker->ends.begin());
 			}
 		}
@@ -528,7 +540,7 @@
 		int64_t clock = ClockOf(*worker);
 		if (answer_lost)
 			return;
-		At(now_ms + kWay, [=, this] {
+		At(now_ms + kOneWayMs, [=, this] {
 			if (*answered || leader->sched == nullptr)
 				return;
 			*answered = true;
@@ -564,7 +576,8 @@
 			std::string text(raw, len);
 			free(raw);
 			lost = Chance(faults_.unsaved);
-			// The condition: nobody leads a later term.
+			// The write is conditional: it fails if a leader of a
+			// later term exists.
 			if (leader->term != term_)
 				return;
 			if (!lost || Chance(0.5)) {
@@ -615,7 +628,8 @@
 	return row;
 }
 
-// One write of a leader at a time, on condition that nobody leads later.
+// A leader has one write per worker in flight.  Writes are conditional: they
+// fail if a leader of a later term exists.
 void
 World::SendRecord(Leader *leader, const std::string &id)
 {
@@ -631,16 +645,16 @@
 	lost = Chance(faults_.unsaved);
 	done = !lost || Chance(0.5);
 	sched_worker_recording(worker);
-	if (lax_ == Lax::EarlyRecord && row.record == RECORD_IN_USE &&
+	if (defect_ == Defect::EarlyRecord && row.record == RECORD_IN_USE &&
 	    recorded_.count(id)) {
 		sched_worker_recorded(worker, RECORD_IN_USE);
 		done = false;
 	}
-	At(now_ms + kWay, [=, this] {
+	At(now_ms + kOneWayMs, [=, this] {
 		bool holds = leader->term == term_;
 		if (holds && done)
 			recorded_[id] = row;
-		At(now_ms + (lost ? 200 : kWay), [=, this] {
+		At(now_ms + (lost ? 200 : kOneWayMs), [=, this] {
 			if (leader->sched == nullptr || !holds)
 				return;
 			bool changed = leader->recording[id];
@@ -655,11 +669,11 @@
 	});
 }
 
-// Leases that run out: how much is left of them.
+// Updates the remaining lease time in the rows of expiring workers.
 void
 World::RefreshRecord(Leader *leader)
 {
-	if (leader->term != term_ || now_ms % kRefresh >= kTick)
+	if (leader->term != term_ || now_ms % kRefreshMs >= kTickMs)
 		return;
 	for (auto &[id, row] : recorded_) {
 		struct sched_worker *worker =
@@ -675,25 +689,26 @@
 World::ClockOf(const Worker &worker) const
 {
 	return static_cast<int64_t>(
-	    static_cast<double>(now_ms) * (1 - worker.slow));
+	    static_cast<double>(now_ms) * (1 - worker.clock_slowdown));
 }
 
 bool
 World::Reaches(const Leader *leader, const Worker *worker) const
 {
 	return worker != nullptr && worker->alive &&
-	    leader->term < worker->deaf_from;
+	    leader->term < worker->unreachable_from_term;
 }
 
-// A worker can't be reached for a while, by any leader or by those to come.
+// Makes a worker unreachable for a while, either for all leaders or only for
+// those of later terms.
 void
-World::Cut()
+World::MakeUnreachable()
 {
 	Worker *worker = workers_[random_() % workers_.size()].get();
 
-	worker->deaf_from = Chance(0.5) ? 0 : term_ + 1;
+	worker->unreachable_from_term = Chance(0.5) ? 0 : term_ + 1;
 	At(now_ms + std::uniform_int_distribution<int64_t>(300, 9000)(random_),
-	    [worker] { worker->deaf_from = UINT64_MAX; });
+	    [worker] { worker->unreachable_from_term = UINT64_MAX; });
 }
 
 void
@@ -702,7 +717,7 @@
 	if (!leader->unknown.insert(id).second)
 		return;
 	unknown_jobs++;
-	At(now_ms + 2 * kWay, [this, leader, id] {
+	At(now_ms + 2 * kOneWayMs, [this, leader, id] {
 		if (leader->sched == nullptr)
 			return;
 		leader->unknown.erase(id);
@@ -731,12 +746,13 @@
 	end.number = worker.next_number++;
 	end.attempt = worker.runs[name].attempt;
 	end.how = how;
-	worker.over[name] = std::max(worker.over[name], end.attempt);
+	worker.highest_ended[name] =
+	    std::max(worker.highest_ended[name], end.attempt);
 	worker.runs.erase(name);
 	worker.ends.push_back(end);
-	facts_[name].running--;
+	history_[name].running--;
 	if (how == END_DONE)
-		facts_[name].done = true;
+		history_[name].done = true;
 }
 
 void
@@ -757,27 +773,27 @@
 	}
 }
 
-// A worker dies with all it has, its list of ends included; another life of
-// it comes.
+// Ends a worker with its runs and its list of ends; a new incarnation takes
+// its place.
 void
 World::Replace(Worker &worker)
 {
 	if (!worker.alive)
 		return;
 	for (auto &[name, run] : worker.runs) {
-		facts_[name].running--;
-		facts_[name].crashes++;
+		history_[name].running--;
+		history_[name].crashes++;
 	}
 	worker.runs.clear();
 	worker.ends.clear();
 	worker.alive = false;
 	auto next = std::make_unique<Worker>();
-	next->id = "w" + std::to_string(lives_++);
-	next->place = worker.place;
+	next->id = "w" + std::to_string(incarnations_++);
+	next->host = worker.host;
 	next->capacity = worker.capacity;
 	next->listed = worker.listed;
-	next->roomy_until_ms = worker.roomy_until_ms;
-	next->slow = worker.slow;
+	next->full_capacity_until_ms = worker.full_capacity_until_ms;
+	next->clock_slowdown = worker.clock_slowdown;
 	workers_.push_back(std::move(next));
 }
 
@@ -787,42 +803,42 @@
 	Replace(*workers_[random_() % workers_.size()]);
 }
 
-// A worker has less room for a while.
+// Reduces the capacity of a worker for a while.
 void
 World::Shrink()
 {
 	size_t at = random_() % workers_.size();
 	int64_t room =
-	    std::uniform_int_distribution<int64_t>(0, kRoom)(random_);
+	    std::uniform_int_distribution<int64_t>(0, kCapacityMillis)(random_);
 	auto set = [this, at](int64_t cpu) {
 		for (auto &w : workers_) {
-			if (w->place != workers_[at]->place)
+			if (w->host != workers_[at]->host)
 				continue;
 			w->capacity.cpu_millis = cpu;
-			w->roomy_until_ms = now_ms + kShrinkSlack;
+			w->full_capacity_until_ms = now_ms + kShrinkGraceMs;
 		}
 	};
 	auto tell = [this, at] {
 		for (auto &w : workers_) {
-			if (w->place == workers_[at]->place)
+			if (w->host == workers_[at]->host)
 				w->listed = w->capacity;
 		}
 	};
 
 	set(room);
 	At(now_ms +
-		std::uniform_int_distribution<int64_t>(0, kShrinkKnown)(
+		std::uniform_int_distribution<int64_t>(0, kShrinkToldMs)(
 		    random_),
 	    tell);
 	At(now_ms +
 		std::uniform_int_distribution<int64_t>(6000, 12000)(random_),
 	    [=] {
-		    set(kRoom);
+		    set(kCapacityMillis);
 		    tell();
 	    });
 }
 
-// A worker says that it leaves, and does so some time later.
+// A worker announces its departure and ends some time later.
 void
 World::Leave()
 {
@@ -854,7 +870,7 @@
 			    sched_worker_get(s, worker->id.c_str());
 			strlcpy(known->service, "s", sizeof(known->service));
 			snprintf(known->address, sizeof(known->address), "p%d",
-			    worker->place);
+			    worker->host);
 			if (worker->alive &&
 			    (!known->listed ||
 				known->draining != worker->draining ||
@@ -865,17 +881,17 @@
 			if (!worker->alive && known->listed)
 				sched_worker_unlisted(s, known, now_ms);
 		}
-		if (leader->settled_revision == 0 &&
-		    now_ms >= s->opt.taken_ms + kFormer)
-			leader->settled_revision = revision_;
+		if (leader->overlap_end_revision == 0 &&
+		    now_ms >= s->opt.taken_ms + kFormerMs)
+			leader->overlap_end_revision = revision_;
 		sched_act(s, now_ms);
 		RefreshRecord(leader.get());
 	}
-	now_ms += kTick;
+	now_ms += kTickMs;
 }
 
 void
-World::Play(int64_t ms)
+World::RunUntilEnded(int64_t ms)
 {
 	int64_t end_ms = now_ms + ms;
 	auto sometime = [this] {
@@ -886,8 +902,8 @@
 
 	for (int i = 0; i < faults_.takeovers; i++)
 		At(sometime(), [this] { TakeOver(); });
-	for (int i = 0; i < faults_.cuts; i++)
-		At(sometime(), [this] { Cut(); });
+	for (int i = 0; i < faults_.unreachable; i++)
+		At(sometime(), [this] { MakeUnreachable(); });
 	for (int i = 0; i < faults_.drains; i++)
 		At(sometime(), [this] { Leave(); });
 	for (int i = 0; i < faults_.crashes; i++)
--- a/tests/sched_world.h
+++ b/tests/sched_world.h
@@ -15,38 +15,42 @@
 }
 
 /*
- * A small world around the scheduler: workers with fences, leases and lists
- * of ends, a store with the leader's record, and leaders that are replaced
- * while their messages are still on the way.  Orders and answers take time,
- * are lost, or are carried out late.  What breaks a promise is noted as it
- * happens, from what the workers see.
+ * Simulation model around the scheduler: workers with fencing, leases and
+ * lists of ended runs, a store with the leader's record, and leaders that are
+ * replaced while their messages are still in flight.  Orders and answers take
+ * time, are lost, or are carried out late.  Violations of the scheduler's
+ * guarantees are recorded as they happen, from what the workers see.
  */
 namespace sched_world {
 
 struct Faults {
-	double lost = 0; // share of answers that are lost
-	double late = 0; // share of orders carried out seconds later
-	double unsaved = 0; // share of writes whose answer is lost
-	double failing = 0; // share of runs that fail
-	double silent = 0; // share of takeovers at which a worker is silent
+	double lost = 0; // probability that an answer is lost
+	// Probability that an order is carried out seconds later.
+	double late = 0;
+	double unsaved = 0; // probability that a write gets no answer
+	double failing = 0; // probability that a run fails
+	double silent = 0; // probability that a worker is silent at a takeover
 	int takeovers = 0;
-	int drains = 0; // workers leave, with a notice or, some, without
-	int cuts = 0; // a worker can't be reached for a while, and runs on
+	int drains = 0; // workers that leave, some of them without a notice
+	// Workers that are unreachable for a while but keep running.
+	int unreachable = 0;
 	bool slow_clocks = false; // of workers, by up to 2 %
-	int64_t window_ms = 5000; // in which takeovers and the like happen
-	int crashes = 0; // of workers, which come back as another life
+	// Interval within which takeovers and other faults happen.
+	int64_t window_ms = 5000;
+	int crashes = 0; // of workers, which come back as a new incarnation
 	int cancels = 0;
-	int crashers = 0; // jobs that crash their workers
-	int shrinks = 0; // of a worker's room, which grows again
+	int crashing_jobs = 0; // jobs that crash their workers
+	int shrinks = 0; // of a worker's capacity, which grows again later
 };
 
-// Jobs whose ids begin so take each worker down that starts a task of them.
-constexpr char kCrasher[] = "crash";
+// Prefix of the ids of jobs whose tasks crash each worker that starts them.
+constexpr char kCrasherPrefix[] = "crash";
 
-// What a lax world gets wrong, to see that the checks notice it.  NoLateGuard
-// carries late starts out whatever their deadline and earlier stops say.
-// EarlyRecord says that a worker is in use before the store has it.
-enum class Lax {
+// Defects to inject into the model, to verify that the checks detect them.
+// NoLateGuard: late starts are carried out regardless of their deadline and of
+// earlier stops.  EarlyRecord: a worker is reported as recorded in use before
+// the store has it.
+enum class Defect {
 	None,
 	NoFence,
 	NoLateGuard,
@@ -73,23 +77,26 @@
 
 struct Worker {
 	std::string id;
-	int place; // where it stands; lives follow each other there
+	int host; // successive incarnations share it
 	struct resources capacity;
-	struct resources listed; // as leaders are told
-	int64_t roomy_until_ms = 0; // what is listed counts until then
+	struct resources listed; // capacity that leaders are told
+	// Until then the checks allow the full capacity.
+	int64_t full_capacity_until_ms = 0;
 	bool alive = true;
 	bool draining = false;
-	uint64_t deaf_from = UINT64_MAX; // to leaders of this term and later
+	// Unreachable for leaders of this term and later.
+	uint64_t unreachable_from_term = UINT64_MAX;
 	uint64_t token = 0;
-	double slow = 0; // its clock, by this share
-	int64_t lease_ms = 0; // on its clock
+	double clock_slowdown = 0; // share by which its clock is slow
+	int64_t lease_ms = 0; // end of the lease, on its clock
 	std::map<std::string, Run> runs;
-	std::map<std::string, uint32_t> over; // highest attempt ended there
+	// Highest attempt ended there.
+	std::map<std::string, uint32_t> highest_ended;
 	std::vector<End> ends;
 	uint64_t next_number = 1;
 };
 
-// What the store's record has of a worker.
+// A worker's row in the store's record.
 struct Recorded {
 	enum worker_record record;
 	int64_t left_ms;
@@ -107,32 +114,35 @@
 	bool alive = true;
 	bool saving = false;
 	int64_t ready_ms = 0;
-	int64_t settled_revision = 0; // stored later: no former leader acts
+	// Jobs stored at a later revision were stored after the former leader
+	// stopped acting.
+	int64_t overlap_end_revision = 0;
 	std::map<std::string, int64_t> revisions;
 	std::set<std::string> unknown;
-	std::map<std::string, bool> recording; // true: changed meanwhile
+	std::map<std::string, bool> recording; // true: changed during the write
 };
 
 class World {
       public:
-	World(unsigned seed, const Faults &, Lax = Lax::None);
+	World(unsigned seed, const Faults &, Defect = Defect::None);
 	~World();
 	void SubmitAt(int64_t ms, const std::string &id, int steps, int width);
-	// Play until all jobs have ended, at most so long.
-	void Play(int64_t ms);
+	// Runs until all jobs have ended, at most for this time.
+	void RunUntilEnded(int64_t ms);
 	bool AllEnded() const;
 	std::string StateOf(const std::string &job) const;
 
-	std::vector<std::string> broken; // promises
+	// Violations of the scheduler's guarantees, one message each.
+	std::vector<std::string> violations;
 	int starts = 0;
 	int takeovers_done = 0;
-	int unknown_jobs = 0; // named by a worker before they were known
+	int unknown_jobs = 0; // named by a worker before the leader knew them
 
-	// The scheduler's actions end up here.
+	// Called by the scheduler's actions.
 	void Start(Leader *, struct sched_run *);
 	void Stop(Leader *, const std::string &worker, const struct task_name &,
 	    uint32_t attempt);
-	void Look(Leader *, const std::string &worker, int64_t deadline,
+	void Poll(Leader *, const std::string &worker, int64_t deadline,
 	    int64_t wait_ms, uint64_t acknowledged);
 	void Save(Leader *);
 	void Record(Leader *, struct sched_worker *);
@@ -145,24 +155,24 @@
 		std::string text;
 		int64_t revision;
 	};
-	struct TaskFacts {
+	struct TaskHistory {
 		bool done = false;
 		bool done_noted = false;
 		int failed_noted = 0;
-		int crashes = 0; // of workers under it
-		int starts_after = 0; // the third
+		int crashes = 0; // of workers that ran it
+		int starts_after = 0; // starts after the third crash
 		int running = 0;
 	};
 
 	void Submit(const std::string &id, int steps, int width);
 	enum sched_origin OriginOf(
 	    const Leader *, const std::string &job) const;
-	void Tell(Leader *, const std::string &job);
-	void TellUntilKnown(const std::string &job);
+	void NotifyJob(Leader *, const std::string &job);
+	void NotifyUntilKnown(const std::string &job);
 	bool Chance(double share);
 	void At(int64_t ms, std::function<void()>);
 	void Deliver(double late_share, std::function<void()>);
-	void Break(const std::string &what, const std::string &about);
+	void AddViolation(const std::string &what, const std::string &about);
 	void TakeOver();
 	void Close(Leader *);
 	void Tick();
@@ -171,7 +181,7 @@
 	Worker *Find(const std::string &id);
 	void Crash();
 	void Shrink();
-	void Cut();
+	void MakeUnreachable();
 	void Leave();
 	void Replace(Worker &);
 	bool Reaches(const Leader *, const Worker *) const;
@@ -181,12 +191,12 @@
 	void RefreshRecord(Leader *);
 	void CheckStart(
 	    Worker &, const struct task_name &, const struct resources &size);
-	void Noted(const End &);
+	void NoteEnd(const End &);
 	struct graph *Graph(const std::string &job) const;
 
 	std::mt19937 random_;
 	Faults faults_;
-	Lax lax_;
+	Defect defect_;
 	std::multimap<int64_t, std::function<void()>> events_;
 	std::vector<std::unique_ptr<Worker>> workers_;
 	std::vector<std::unique_ptr<Leader>> leaders_;
@@ -197,10 +207,10 @@
 	std::map<std::string, std::string> submitted_;
 	std::map<std::string, Recorded> recorded_;
 	std::set<std::string> cancelled_;
-	std::map<std::string, TaskFacts> facts_;
+	std::map<std::string, TaskHistory> history_;
 	int64_t revision_ = 1;
 	uint64_t term_ = 0;
-	int lives_ = 0;
+	int incarnations_ = 0;
 	size_t expected_ = 0;
 };
 
--- a/tests/test_blame.cc
+++ b/tests/test_blame.cc
@@ -4,9 +4,10 @@
 #include "blame.h"
 }
 
-// 50 workers, watched for so many seconds with so many crashes in each.
+// The rate of 50 workers, observed for this time with this many crashes per
+// second.
 static struct blame_rate
-Watched(int seconds, double crashes_per_s)
+ObservedRate(int seconds, double crashes_per_s)
 {
 	struct blame_rate rate = { 0, 0, 0 };
 	double due = 0;
@@ -21,50 +22,52 @@
 
 TEST(Blame, NothingWithoutACrash)
 {
-	struct blame_rate rate = Watched(60, 0);
+	struct blame_rate rate = ObservedRate(60, 0);
 
 	EXPECT_EQ(BLAME_NONE, blame_assess(&rate, 0, 0));
 }
 
 TEST(Blame, OneCrashProvesNothing)
 {
-	struct blame_rate rate = Watched(600, 0);
+	struct blame_rate rate = ObservedRate(600, 0);
 
 	EXPECT_EQ(BLAME_SUSPECT, blame_assess(&rate, 1, 50));
 }
 
 TEST(Blame, CrashesSoonAfterStartsAreTheTasks)
 {
-	struct blame_rate quiet = Watched(60, 0.01), bad = Watched(60, 1);
+	struct blame_rate low = ObservedRate(60, 0.01),
+			  high = ObservedRate(60, 1);
 
-	EXPECT_EQ(BLAME_CERTAIN, blame_assess(&quiet, 2, 100));
-	EXPECT_EQ(BLAME_CERTAIN, blame_assess(&bad, 3, 150));
-	EXPECT_EQ(BLAME_CERTAIN, blame_assess(&bad, 5, 5 * 1400));
+	EXPECT_EQ(BLAME_CERTAIN, blame_assess(&low, 2, 100));
+	EXPECT_EQ(BLAME_CERTAIN, blame_assess(&high, 3, 150));
+	EXPECT_EQ(BLAME_CERTAIN, blame_assess(&high, 5, 5 * 1400));
 }
 
-TEST(Blame, CrashesOfABadDayAreNobodys)
+TEST(Blame, FrequentUnrelatedCrashesBlameNoTask)
 {
-	struct blame_rate bad = Watched(60, 1);
-
-	// 50 workers, one crash a second: each runs for 50 s between two.
-	EXPECT_EQ(BLAME_NONE, blame_assess(&bad, 1, 50000));
-	EXPECT_EQ(BLAME_NONE, blame_assess(&bad, 5, 250000));
-	EXPECT_EQ(BLAME_NONE, blame_assess(&bad, 8, 200000));
-	EXPECT_NE(BLAME_CERTAIN, blame_assess(&bad, 2, 1600));
+	struct blame_rate high = ObservedRate(60, 1);
+
+	// With 50 workers and one crash a second, each worker runs for 50 s
+	// between two crashes.
+	EXPECT_EQ(BLAME_NONE, blame_assess(&high, 1, 50000));
+	EXPECT_EQ(BLAME_NONE, blame_assess(&high, 5, 250000));
+	EXPECT_EQ(BLAME_NONE, blame_assess(&high, 8, 200000));
+	EXPECT_NE(BLAME_CERTAIN, blame_assess(&high, 2, 1600));
 }
 
-TEST(Blame, ItsOwnCrashesDontSpeakForATask)
+TEST(Blame, ATasksOwnCrashesDontExcuseIt)
 {
-	struct blame_rate rate = Watched(60, 0);
+	struct blame_rate rate = ObservedRate(60, 0);
 
 	for (int i = 0; i < 3; i++)
 		blame_add_crash(&rate);
 	EXPECT_EQ(BLAME_CERTAIN, blame_assess(&rate, 3, 3000));
 }
 
-TEST(Blame, TheRateIsThatOfLate)
+TEST(Blame, OldCrashesDecay)
 {
-	struct blame_rate rate = Watched(60, 5);
+	struct blame_rate rate = ObservedRate(60, 5);
 
 	EXPECT_NE(BLAME_CERTAIN, blame_assess(&rate, 2, 1000));
 	for (int i = 1; i <= 300; i++)
@@ -72,9 +75,9 @@
 	EXPECT_EQ(BLAME_CERTAIN, blame_assess(&rate, 2, 1000));
 }
 
-TEST(Blame, WhatWasNoCrashIsTakenBack)
+TEST(Blame, ARefutedCrashIsRemoved)
 {
-	struct blame_rate rate = Watched(60, 0), before = rate;
+	struct blame_rate rate = ObservedRate(60, 0), before = rate;
 
 	blame_add_crash(&rate);
 	blame_remove_crash(&rate);
--- a/tests/test_handover.cc
+++ b/tests/test_handover.cc
@@ -1,7 +1,7 @@
 #include "handover_fixture.h"
 
-// The worker of a lasting task ends without a sign.  One leader all the while:
-// the task is back once the worker's lease is surely over.
+// The worker of a long-running task ends without notice, under the same
+// leader: the task runs again once the worker's lease has surely expired.
 TEST_F(Handover, ALastingTaskIsBackAfterItsLease)
 {
 	int64_t away;
@@ -9,19 +9,19 @@
 	RunOnFirst(2);
 	AddWorker("second");
 	Pass(1000);
-	WorkerGone("first");
-	away = PassUntilRunning(2, 2 * kAwayMax);
-	EXPECT_LT(away, kLease + 1500);
-	EXPECT_EQ(doubles, 0);
+	LoseWorker("first");
+	away = PassUntilRunning(2, 2 * kAbsenceMaxMs);
+	EXPECT_LT(away, kLeaseMs + 1500);
+	EXPECT_EQ(duplicate_runs, 0);
 }
 
-// Callers of a lasting task find nobody for ten seconds and more, with half
-// of the room free.  Its worker leaves; before the worker's lease is surely
-// over, the leader is replaced, as entries are restarted one after the other.
-// Each new leader can't know when the lease was last renewed and counted it
-// from its own beginning.  Seen in the logs: all that waited started together,
-// two seconds and a lease into the last term, under "unsettled" workers that
-// hadn't answered it once.
+// Callers of a long-running task found nobody for ten seconds and more, with
+// half of the room free.  Its worker leaves, and leaders are replaced before
+// the worker's lease has surely expired, as entries are restarted one after
+// another.  A new leader can't know when the lease was last renewed and
+// counted it from the beginning of its own term.  In the logs all waiting
+// tasks started together, two seconds and a lease into the last term, under
+// "unsettled" workers that had never answered it.
 TEST_F(Handover, ALastingTaskIsBackThoughLeadersFollowEachOther)
 {
 	int64_t away;
@@ -31,18 +31,18 @@
 	ASSERT_EQ(workers["first"].runs.size(), 2u);
 	AddWorker("second");
 	Pass(1000);
-	WorkerGone("first");
-	away = PassUntilRunning(2, 2 * kAwayMax, [this](int64_t past) {
+	LoseWorker("first");
+	away = PassUntilRunning(2, 2 * kAbsenceMaxMs, [this](int64_t past) {
 		if (past > 0 && past % 2000 == 0)
 			Restart();
 	});
-	EXPECT_LT(away, kAwayMax);
-	EXPECT_EQ(doubles, 0);
+	EXPECT_LT(away, kAbsenceMaxMs);
+	EXPECT_EQ(duplicate_runs, 0);
 }
 
-// All entries lose power at once, so that nobody is left who heard what the
-// leader had learnt of fillers.  The next leader finds it in the store; without
-// it serving tasks are late for seconds while it learns anew.
+// All entries lose power at once, so that none is left that received what the
+// leader had learnt about fillers.  The next leader loads it from the store;
+// without it serving tasks are late for seconds while it learns anew.
 TEST_F(Handover, WhatWasLearntOutlastsAllEntries)
 {
 	RunOnFirst(1);
@@ -54,8 +54,8 @@
 	EXPECT_EQ(items["lp/learnt"].value, "[[\"web\",\"rebuild\",4.5]]");
 }
 
-// A record of another writer, or one that can't be read, teaches nothing and
-// holds nobody up.
+// A record written by someone else, or one that can't be parsed, is ignored
+// and delays nothing.
 TEST_F(Handover, ARecordOfWhatWasLearntThatCantBeReadIsPassedOver)
 {
 	RunOnFirst(1);
@@ -67,11 +67,11 @@
 	EXPECT_EQ(Running(), 1u);
 }
 
-// Callers see their job go on after a restart of all entries, though another
-// writer has put entries of its own under our keys meanwhile: a job that can't
-// be read, one with another job's name, progress that says what nobody said,
-// rows of the record that name no worker.  Each was taken for ours, or ended
-// the process that read it.
+// Jobs must keep running through a restart of all entries although someone
+// else has written under our keys meanwhile: a job that can't be parsed, one
+// with another job's name, progress that no entry wrote, rows of the worker
+// record that name no worker.  Each of these was taken for ours, or ended the
+// process that read it.
 TEST_F(Handover, EntriesOfOtherWritersEndNoTakeover)
 {
 	RunOnFirst(2);
@@ -92,34 +92,35 @@
 	Open();
 	Pass(4000);
 	EXPECT_EQ(Running(), 2u);
-	EXPECT_EQ(doubles, 0);
-	EXPECT_LT(longest_away, 1000);
+	EXPECT_EQ(duplicate_runs, 0);
+	EXPECT_LT(longest_absence_ms, 1000);
 	EXPECT_EQ(workers["foreign"].runs.size(), 0u);
 }
 
-// The record of workers itself can't be read.  A worker that only it named may
-// run tasks until its lease is over, so these wait that long and no longer.
+// The worker record can't be parsed.  A worker named only there may run tasks
+// until its lease has expired, so tasks wait for a lease and no longer.
 TEST_F(Handover, AnUnreadableRecordHoldsTasksForALease)
 {
 	int64_t away;
 
 	RunOnFirst(2);
 	Pass(1000);
-	CutOff("first");
+	MakeUnreachable("first");
 	Close();
 	Put("lp/workers", "{");
 	AddWorker("second");
 	Open();
-	for (away = 0; away < 2 * kAwayMax && workers["second"].runs.size() < 2;
-	     away += kStep)
+	for (away = 0;
+	     away < 2 * kAbsenceMaxMs && workers["second"].runs.size() < 2;
+	     away += kStepMs)
 		Step();
-	EXPECT_EQ(doubles, 0);
-	EXPECT_GE(away, kLease);
-	EXPECT_LT(away, kAwayMax);
+	EXPECT_EQ(duplicate_runs, 0);
+	EXPECT_GE(away, kLeaseMs);
+	EXPECT_LT(away, kAbsenceMaxMs);
 }
 
-// The record of the leader can't be read: another writer has replaced it.  The
-// entries that start next still find one to lead them.
+// The leader record was overwritten by someone else and can't be parsed.  The
+// entries that start next still elect a leader.
 TEST_F(Handover, AnUnreadableLeaderIsReplaced)
 {
 	RunOnFirst(2);
@@ -128,32 +129,34 @@
 	Open();
 	Pass(8000);
 	EXPECT_EQ(Running(), 2u);
-	EXPECT_EQ(doubles, 0);
+	EXPECT_EQ(duplicate_runs, 0);
 	EXPECT_NE(items["lp/leader"].value.find("\"term\""), std::string::npos);
 }
 
-// The same, but the worker was only cut off and runs the tasks until its
-// lease is over: nothing may be started elsewhere before.
+// As in ALastingTaskIsBackThoughLeadersFollowEachOther, but the worker is only
+// unreachable and runs the tasks until its lease has expired: nothing may be
+// started elsewhere before.
 TEST_F(Handover, NothingRunsTwiceThoughLeadersFollowEachOther)
 {
 	RunOnFirst(2);
 	ASSERT_EQ(workers["first"].runs.size(), 2u);
 	AddWorker("second");
 	Pass(1000);
-	CutOff("first");
+	MakeUnreachable("first");
 	for (int64_t past = 0;
-	     past < 2 * kAwayMax && workers["second"].runs.size() < 2;
-	     past += kStep) {
+	     past < 2 * kAbsenceMaxMs && workers["second"].runs.size() < 2;
+	     past += kStepMs) {
 		if (past > 0 && past % 1500 == 0)
 			Restart();
 		Step();
 	}
 	EXPECT_EQ(workers["second"].runs.size(), 2u);
-	EXPECT_EQ(doubles, 0);
+	EXPECT_EQ(duplicate_runs, 0);
 }
 
-// The store is down, and callers of lasting tasks still find them: while all
-// entries follow the leader none can have replaced it, and it renews leases.
+// The store is unavailable, and callers of long-running tasks still find them:
+// while all entries follow the leader none can have replaced it, so it renews
+// leases.
 TEST_F(Handover, AnOutageOfTheStoreEndsNoLeases)
 {
 	AddWorker("first");
@@ -165,14 +168,15 @@
 	Pass(1000);
 	ASSERT_EQ(Running(), 2u);
 	store_down = true;
-	Pass(2 * kLease);
+	Pass(2 * kLeaseMs);
 	EXPECT_EQ(Running(), 2u);
 }
 
-// The store is down for the leader, and one entry is heard no more.  That one
-// may have the store and lead by now; it takes leases of workers that it can't
-// reach for over in time.  A leader that went on renewing them would let tasks
-// run twice, and callers get two answers of one task.
+// The store is unavailable for the leader, and one entry is no longer heard.
+// That entry may reach the store and lead by now, and in time it takes the
+// leases of workers that it can't reach for expired.  If the leader kept
+// renewing them, tasks would run twice, and callers would get two answers of
+// one task.
 TEST_F(Handover, ALeaderThatMayBeReplacedRenewsNothing)
 {
 	struct node *lost;
@@ -190,21 +194,21 @@
 	Pass(1500);
 	ASSERT_EQ(Running(), 2u);
 	Kill(lost);
-	Pass(2000 + kLease * 103 / 100);
+	Pass(2000 + kLeaseMs * 103 / 100);
 	EXPECT_EQ(Running(), 0u);
 }
 
-// Callers of lasting tasks find nobody for ten seconds and more.  Workers are
-// replaced one after the other, and so are the entries.  Each new leader finds
-// some worker that has just left; it can't tell what ran there, and held every
-// task back that no worker listed, also those whose own worker had lapsed.
-// Seen in the logs: worker_lapsed for the task's worker, and its start only
-// once "unsettled" fell to 0, eight seconds later.
+// Callers of long-running tasks found nobody for ten seconds and more while
+// workers and entries were replaced one after another.  Each new leader finds
+// some worker that has just left and can't tell what ran there; it delayed
+// every task that no worker listed, also those whose own worker's lease had
+// expired.  In the logs a task's worker_lapsed event was followed by its start
+// only once "unsettled" fell to 0, eight seconds later.
 TEST_F(Handover, LastingTasksAreBackWhileWorkersKeepLeaving)
 {
 	int entries = 3;
 
-	turn_ms = kStep / 4;
+	loop_turn_ms = kStepMs / 4;
 	Open("e1");
 	Pass(1500);
 	Open("e2");
@@ -213,24 +217,24 @@
 	Pass(2000);
 	ReplaceWorkers([&](int64_t past) {
 		if (past % 2000 == 0) {
-			CloseLeft();
+			CloseLeaving();
 			Open(("e" + std::to_string(++entries)).c_str());
 		}
 		if (past % 2000 == 1000)
-			Leave();
+			ResignLeader();
 	});
-	EXPECT_LT(longest_away, kAwayMax);
+	EXPECT_LT(longest_absence_ms, kAbsenceMaxMs);
 	EXPECT_EQ(Running(), kWorkers);
-	EXPECT_EQ(doubles, 0);
+	EXPECT_EQ(duplicate_runs, 0);
 	EXPECT_EQ(starts_draining, 0);
 }
 
-// The same, but the leaders are killed one after the other: the next one must
-// reckon with what the last may still do, and each time nobody leads for most
-// of a second.  The tasks come back all the same.
+// As above, but leaders are killed one after another: the next one must allow
+// for what the last one may still do, and each time there is no leader for
+// most of a second.  The tasks still come back in time.
 TEST_F(Handover, LastingTasksComeBackThoughLeadersAreKilled)
 {
-	constexpr int64_t kFormer = 1600, kNobody = 750, kKills = 5;
+	constexpr int64_t kFormerMs = 1600, kLeaderlessMs = 750, kKills = 5;
 
 	Open();
 	Pass(1500);
@@ -239,17 +243,17 @@
 		if (past % 2000 == 1000)
 			Restart();
 	});
-	EXPECT_LT(
-	    longest_away, kFormer + kLease * 103 / 100 + kKills * kNobody);
+	EXPECT_LT(longest_absence_ms,
+	    kFormerMs + kLeaseMs * 103 / 100 + kKills * kLeaderlessMs);
 	EXPECT_EQ(Running(), kWorkers);
-	EXPECT_EQ(doubles, 0);
+	EXPECT_EQ(duplicate_runs, 0);
 	EXPECT_EQ(starts_draining, 0);
 }
 
-// An entry that can't hear the new leader stores a job and tells the former
-// one, which starts it on a worker that only the new one can't reach.  The new
-// leader finds the job in the store long after that; it must still wait for
-// that worker, or the caller's task runs twice.
+// An entry that can't hear the new leader stores a job and notifies the former
+// leader, which starts it on a worker that only the new leader can't reach.
+// The new leader finds the job in the store much later; it must still wait for
+// that worker, or the task runs twice.
 TEST_F(Handover, AJobStoredWhileAFormerLeaderMayActWaits)
 {
 	std::string text;
@@ -258,23 +262,23 @@
 	RunOnFirst(1);
 	ASSERT_EQ(accepted, 1);
 	text = items["lp/j/job"].value;
-	CutOff("first");
+	MakeUnreachable("first");
 	began = clock_now_ms();
 	Restart();
 	AddWorker("second");
 	Pass(900);
-	// The other entry's job, alike but for its name.
+	// The job stored by the other entry, identical but for its name.
 	text.replace(text.find(":\"job\"") + 2, 3, "two");
 	Put("lp/j/two", text);
 	while (workers["second"].runs.count("two.0") == 0 &&
-	    clock_now_ms() < began + 2 * kAwayMax)
+	    clock_now_ms() < began + 2 * kAbsenceMaxMs)
 		Step();
-	EXPECT_GE(clock_now_ms(), began + kLease);
-	EXPECT_LT(clock_now_ms(), began + 2 * kAwayMax);
+	EXPECT_GE(clock_now_ms(), began + kLeaseMs);
+	EXPECT_LT(clock_now_ms(), began + 2 * kAbsenceMaxMs);
 }
 
-// Rows of the record that an earlier leader left, and another that knew no
-// such rows didn't write again, may be out of date: they hold for nobody.
+// Rows of the worker record may be out of date if a leader that didn't know
+// them came after the leader that wrote them.  They must not be trusted.
 TEST_F(Handover, RowsOfAnEarlierTermArentTrusted)
 {
 	int64_t began;
@@ -284,25 +288,26 @@
 	AddWorker("second");
 	Pass(1000);
 	Close();
-	CutOff("first");
+	MakeUnreachable("first");
 	Put("lp/workers", "[[\"first\",\"\",0,[],0],[\"second\",\"\"]]");
 	began = clock_now_ms();
 	Open();
 	while (workers["second"].runs.empty() &&
-	    clock_now_ms() < began + 2 * kAwayMax)
+	    clock_now_ms() < began + 2 * kAbsenceMaxMs)
 		Step();
-	EXPECT_GE(clock_now_ms(), began + kLease - 1500);
-	EXPECT_EQ(doubles, 0);
+	EXPECT_GE(clock_now_ms(), began + kLeaseMs - 1500);
+	EXPECT_EQ(duplicate_runs, 0);
 }
 
-// The same rows of the last leader hold: the task starts at once.
+// The same rows written by the last leader are trusted: the task starts at
+// once.
 TEST_F(Handover, RowsOfTheLastTermAreTrusted)
 {
 	RunOnFirst(1);
 	AddWorker("second");
 	Pass(1000);
 	Close();
-	WorkerGone("first");
+	LoseWorker("first");
 	Put("lp/workers",
 	    "[[\"first\",\"\",1,[[\"job\",0,0,0]],300],"
 	    "[\"second\",\"\"]]");
@@ -311,58 +316,58 @@
 	EXPECT_EQ(workers["second"].runs.size(), 1u);
 }
 
-// Callers of a lasting task find nobody for over eight seconds, with a worker
-// free for it.  Its worker says four seconds ahead when it leaves, but there is
-// no room to move the task to until then.  The leader is killed as the worker
-// goes, so that the next one can't know when the lease was last renewed: it
-// waited for a former leader, a whole lease and a margin, 6.9 s, though nothing
-// ran there any more.  Seen in the record of workers: no time left for a worker
-// that was known to leave.
+// Callers of a long-running task found nobody for over eight seconds, with a
+// worker free for it.  Its worker announces its departure four seconds ahead,
+// but until then there is no room to move the task to.  The leader is killed
+// as the worker leaves, so the next one can't know when the lease was last
+// renewed: it waited for the former leader, a whole lease and a margin, 6.9 s,
+// though nothing ran there any more.  The worker record must tell the
+// remaining lease time of a worker whose departure was announced.
 TEST_F(Handover, ATaskIsBackSoonAfterADepartureThatWasAnnounced)
 {
-	constexpr int64_t kNotice = 4000, kNobody = 1000;
+	constexpr int64_t kNoticeMs = 4000, kLeaderlessMs = 1000;
 
 	Open();
 	Pass(1500);
 	FillWorkers();
-	Drain("w0", kNotice);
-	Pass(kNotice);
-	WorkerGone("w0");
+	Drain("w0", kNoticeMs);
+	Pass(kNoticeMs);
+	LoseWorker("w0");
 	AddWorker("new");
 	Pass(200);
 	Close();
-	Pass(kNobody);
+	Pass(kLeaderlessMs);
 	Open();
-	PassUntilRunning(kWorkers, 2 * kAwayMax);
+	PassUntilRunning(kWorkers, 2 * kAbsenceMaxMs);
 	EXPECT_EQ(Running(), kWorkers);
-	EXPECT_LT(longest_away, kAwayCounts);
-	EXPECT_EQ(doubles, 0);
+	EXPECT_LT(longest_absence_ms, kAbsenceCountsMs);
+	EXPECT_EQ(duplicate_runs, 0);
 }
 
-// The same without a change of the leader.  The worker stays for seconds longer
-// than it said; its task works on all the while.
+// As above without a change of the leader.  The worker stays seconds longer
+// than announced, and its task keeps running all the while.
 TEST_F(Handover, AWorkerThatStaysLongerThanItSaidKeepsItsTask)
 {
-	constexpr int64_t kNotice = 4000, kLonger = 6000;
+	constexpr int64_t kNoticeMs = 4000, kLongerMs = 6000;
 
 	Open();
 	Pass(1500);
 	FillWorkers();
-	Drain("w0", kNotice);
-	Pass(kNotice + kLonger);
+	Drain("w0", kNoticeMs);
+	Pass(kNoticeMs + kLongerMs);
 	EXPECT_EQ(Running(), kWorkers);
-	EXPECT_LT(longest_away, kStep);
-	WorkerGone("w0");
+	EXPECT_LT(longest_absence_ms, kStepMs);
+	LoseWorker("w0");
 	AddWorker("new");
-	PassUntilRunning(kWorkers, 2 * kAwayMax);
-	EXPECT_LT(longest_away, kLease);
-	EXPECT_EQ(doubles, 0);
+	PassUntilRunning(kWorkers, 2 * kAbsenceMaxMs);
+	EXPECT_LT(longest_absence_ms, kLeaseMs);
+	EXPECT_EQ(duplicate_runs, 0);
 }
 
-// Callers wait twice as long for their jobs until the end of the day.  A weak
-// entry leads, as the strong ones were away or slower when the lead was free,
-// and its processor and link can't follow what workers tell.  It hands over
-// once a stronger one has been heard for a while.
+// Callers waited twice as long for their jobs until the end of the day.  A
+// weak entry leads, because the strong ones were absent or slower when there
+// was no leader, and its processor and link can't keep up with the workers'
+// answers. It hands over once a stronger entry has been heard for a while.
 TEST_F(Handover, AWeakLeaderHandsOverToAStrongerMember)
 {
 	AddWorker("first");
@@ -376,11 +381,11 @@
 	Pass(6000);
 	EXPECT_NE(items["lp/leader"].value.find("strong"), std::string::npos);
 	EXPECT_EQ(Running(), 2u);
-	EXPECT_LT(longest_away, kStep);
-	EXPECT_EQ(doubles, 0);
+	EXPECT_LT(longest_absence_ms, kStepMs);
+	EXPECT_EQ(duplicate_runs, 0);
 }
 
-// One that is hardly stronger is no reason for a change.
+// An entry that is only slightly stronger is no reason to hand over.
 TEST_F(Handover, ALeaderStaysBesideOneThatIsHardlyStronger)
 {
 	AddWorker("first");
--- a/tests/test_headroom.cc
+++ b/tests/test_headroom.cc
@@ -2,14 +2,14 @@
 
 namespace {
 
-// Short jobs and jobs that last, of the same priority, share eight workers.
+// Short jobs and long-running jobs of the same priority share eight workers.
 class Headroom : public Handover {
       protected:
-	static constexpr int64_t kShortRun = 500, kShortEvery = 500;
-	static constexpr int64_t kLastEvery = 1000, kPiece = 4000;
+	static constexpr int64_t kShortRunMs = 500, kShortEveryMs = 500;
+	static constexpr int64_t kLongEveryMs = 1000, kPiece = 4000;
 	static constexpr uint32_t kTasks = 2;
-	// A short job later than this is worth nothing to its caller.
-	static constexpr int64_t kShortObjective = 2000;
+	// A short job that ends later than this is of no use to its caller.
+	static constexpr int64_t kShortObjectiveMs = 2000;
 
 	void
 	SetUp() override
@@ -21,18 +21,19 @@
 		Pass(1500);
 	}
 
-	// One short job each kShortEvery, one that lasts each kLastEvery.
+	// Submits a short job each kShortEveryMs and a long-running one each
+	// kLongEveryMs.
 	void
 	Load(int64_t for_ms, bool lasting)
 	{
-		for (int64_t past = 0; past < for_ms; past += kStep) {
-			if (past % kShortEvery == 0)
+		for (int64_t past = 0; past < for_ms; past += kStepMs) {
+			if (past % kShortEveryMs == 0)
 				SubmitShort();
-			if (lasting && past % kLastEvery == 0)
+			if (lasting && past % kLongEveryMs == 0)
 				Submit("lasting" + std::to_string(++submitted),
 				    kTasks, kPiece);
 			Step();
-			WatchShort();
+			TrackShort();
 		}
 	}
 
@@ -41,13 +42,14 @@
 	{
 		std::string id = "short" + std::to_string(++shorts);
 
-		Submit(id, kTasks, kPiece, kShortRun);
+		Submit(id, kTasks, kPiece, kShortRunMs);
 		open_since[id] = clock_now_ms();
 	}
 
-	// Jobs of which all tasks are done, within their objective or not.
+	// Counts the jobs that ended within their objective; drops those that
+	// are late.
 	void
-	WatchShort()
+	TrackShort()
 	{
 		for (auto &[id, worker] : workers) {
 			for (auto &end : worker.ends)
@@ -60,7 +62,7 @@
 				    done.count(job->first + "." +
 					std::to_string(i)) > 0;
 			bool late =
-			    clock_now_ms() - job->second > kShortObjective;
+			    clock_now_ms() - job->second > kShortObjectiveMs;
 			if (!ended && !late) {
 				++job;
 				continue;
@@ -78,11 +80,12 @@
 
 } // namespace
 
-// Callers of short work wait past their deadline, for as long as jobs that
-// last keep coming.  Those take each piece of room that comes free, and hold it
-// for minutes; a short task would give it back in half a second.  Seen in a
-// count of room each second: free processors in pieces smaller than a short
-// task on all workers, hundreds of short tasks waiting, hardly one that lasts.
+// Callers of short work waited past their deadline for as long as long-running
+// jobs kept arriving.  These take each piece of room that comes free and hold
+// it for minutes, where a short task would return it in half a second.
+// Counted each second: the free processors of all workers were in pieces
+// smaller than a short task, with hundreds of short tasks waiting and hardly
+// any long-running one.
 TEST_F(Headroom, ShortWorkIsServedThoughJobsThatLastKeepComing)
 {
 	Load(5000, false);
@@ -90,12 +93,12 @@
 	EXPECT_GE(in_time, 9 * (shorts - 4) / 10);
 	EXPECT_GT(refused, 0);
 	EXPECT_GT(retry_after_ms, 0);
-	// They get what short work doesn't need.
+	// Long-running jobs get what short work doesn't need.
 	EXPECT_GE(accepted - shorts, 4);
-	EXPECT_EQ(doubles, 0);
+	EXPECT_EQ(duplicate_runs, 0);
 }
 
-// Jobs that last may claim all room where nobody asks for short work.
+// Long-running jobs may claim all room while nobody asks for short work.
 TEST_F(Headroom, WithoutShortWorkJobsThatLastGetAllRoom)
 {
 	for (size_t i = 0; i < kWorkers; i++) {
@@ -106,8 +109,8 @@
 	EXPECT_EQ(Running(), kWorkers * kTasks);
 }
 
-// The answer to a caller's first try was lost; it tries again while there is no
-// room for jobs that last.  Its job was stored and runs, so that a refusal,
+// The answer to a caller's first request was lost; it retries while there is
+// no room for long-running jobs.  Its job was stored and runs, so a refusal,
 // which says that it doesn't, would be false.
 TEST_F(Headroom, AJobThatWasStoredBeforeIsNotRefused)
 {
--- a/tests/test_interference.cc
+++ b/tests/test_interference.cc
@@ -14,22 +14,22 @@
 constexpr double kShortestMs = 10;
 constexpr double kBadEffect = 3.5, kGoodEffect = 0.3;
 
-// Serving tasks whose load swings, each with a phase of its own, beside
-// fillers that come and go.  Tails are listed each half second, with noise.
+// Serving tasks whose load varies, each with its own phase, beside fillers
+// that come and go.  Tail latencies are listed each half second, with noise.
 struct Worker {
 	struct load_estimate load = {};
 	double phase;
-	double bad = 0, good = 0; // shares of the worker
+	double bad = 0, good = 0; // shares of the worker's processors
 
 	double
-	True(int64_t now_ms) const
+	TrueLoad(int64_t now_ms) const
 	{
 		return 0.45 * (1 + 0.5 * sin(now_ms / 2200.0 + phase));
 	}
 	double
-	Strained(int64_t now_ms) const
+	DisturbedLoad(int64_t now_ms) const
 	{
-		return True(now_ms) *
+		return TrueLoad(now_ms) *
 		    (1 + kBadEffect * bad + kGoodEffect * good);
 	}
 };
@@ -54,26 +54,27 @@
 	{
 		interference_free(interference);
 	}
-	// One list of each worker; fillers change on a part of the workers.
+	// Processes one list of each worker; fillers change on some of the
+	// workers.
 	void
 	Step(double share_bad, double share_good)
 	{
-		std::uniform_real_distribution<> any(0, 1);
-		std::normal_distribution<> rough(1, 0.05);
+		std::uniform_real_distribution<> uniform(0, 1);
+		std::normal_distribution<> noise(1, 0.05);
 
 		now_ms += 500;
 		for (auto &w : workers) {
 			struct filler_usage usages[2] = { { bad, w.bad },
 				{ good, w.good } };
-			double load = std::min(0.97, w.Strained(now_ms));
+			double load = std::min(0.97, w.DisturbedLoad(now_ms));
 
 			interference_update(interference, web, &w.load, usages,
-			    2, kShortestMs / (1 - load) * rough(random),
+			    2, kShortestMs / (1 - load) * noise(random),
 			    kTargetMs, now_ms);
-			if (any(random) > 0.3)
+			if (uniform(random) > 0.3)
 				continue;
-			w.bad = any(random) < share_bad ? 0.15 : 0;
-			w.good = any(random) < share_good ? 0.15 : 0;
+			w.bad = uniform(random) < share_bad ? 0.15 : 0;
+			w.good = uniform(random) < share_good ? 0.15 : 0;
 		}
 	}
 	double
@@ -90,8 +91,9 @@
 
 } // namespace
 
-// A few seconds of mixed company are enough to tell the two apart.
-TEST(Press, TellsWhoDisturbsFromMixedTails)
+// A few seconds with both images beside the serving tasks are enough to tell
+// them apart.
+TEST(Interference, TellsWhoDisturbsFromMixedTails)
 {
 	int wrong = 0;
 
@@ -105,21 +107,24 @@
 	EXPECT_LE(wrong, 2);
 }
 
-TEST(Press, LearnsHowMuch)
+TEST(Interference, LearnsHowMuch)
 {
 	World world(1);
 
 	for (int i = 0; i < 120; i++)
 		world.Step(0.3, 0.5);
-	/* The longest tails are cut off, so that strong ones are underrated. */
+	/*
+	 * The longest tails are capped, so that strong effects are
+	 * underestimated.
+	 */
 	EXPECT_GT(world.Bad(), kBadEffect / 2);
 	EXPECT_LT(world.Bad(), kBadEffect * 1.2);
 	EXPECT_NEAR(world.Good(), kGoodEffect, 0.4);
 }
 
 // Where most tasks of an image are disturbed, most tails are long.  They must
-// not be taken for the usual ones.
-TEST(Press, SeesADisturbanceOfMostTasks)
+// not be taken for the normal ones.
+TEST(Interference, SeesADisturbanceOfMostTasks)
 {
 	World world(1);
 
@@ -129,8 +134,8 @@
 	EXPECT_LT(world.Good(), 1);
 }
 
-// Load that swings makes tails longer and shorter: no filler is to blame.
-TEST(Press, LoadAloneBlamesNobody)
+// A varying load makes tails longer and shorter without any filler to blame.
+TEST(Interference, LoadAloneBlamesNoFiller)
 {
 	World world(1);
 
@@ -139,8 +144,8 @@
 	EXPECT_LT(world.Good(), 1);
 }
 
-// The load is that of the task alone, whatever runs beside it.
-TEST(Press, FollowsTheLoadBesideFillers)
+// The estimated load is that of the task alone, whatever runs beside it.
+TEST(Interference, FollowsTheLoadBesideFillers)
 {
 	World world(2);
 	double sum = 0;
@@ -152,18 +157,19 @@
 		world.Step(0.3, 0.5);
 		for (auto &w : world.workers) {
 			sum += std::abs(load_estimate_value(&w.load) -
-			    w.True(world.now_ms));
+			    w.TrueLoad(world.now_ms));
 			n++;
 		}
 	}
 	EXPECT_LT(sum / n, 0.08);
 }
 
-// A step's tasks run on many workers and serve the same users.  With an
-// estimate for each of them, what a filler does and what the users do could
-// not be told apart for seconds: harmless fillers were held back, and harmful
-// ones let in.  With one for all, the tasks that have other company tell.
-TEST(Press, OneLoadForAllTasksOfAStep)
+// The tasks of a step run on many workers and serve the same users.  With an
+// estimate for each task, the effects of fillers and of users could not be
+// told apart for seconds: harmless fillers were throttled, and harmful ones
+// admitted. With a common estimate, tasks beside other fillers provide the
+// difference.
+TEST(Interference, OneLoadForAllTasksOfAStep)
 {
 	struct interference *p = interference_new();
 	struct load_estimate load = {};
@@ -171,8 +177,8 @@
 	    bad = interference_image(p, "bad");
 	int good = interference_image(p, "good");
 	std::mt19937 random(3);
-	std::normal_distribution<> rough(1, 0.05);
-	double off = 0;
+	std::normal_distribution<> noise(1, 0.05);
+	double error = 0;
 	int n = 0;
 
 	for (int64_t now_ms = 1000; now_ms < 7000; now_ms += 40) {
@@ -180,27 +186,27 @@
 		struct filler_usage usages[2] = { { bad, task == 0 ? 0.1 : 0 },
 			{ good, task < 4 ? 0.2 : 0 } };
 		double users = 0.45 * (1 + 0.5 * sin(now_ms / 2200.0));
-		double strained = users *
+		double disturbed = users *
 		    (1 + kBadEffect * usages[0].share +
 			kGoodEffect * usages[1].share);
 
 		interference_update(p, web, &load, usages, 2,
-		    kShortestMs / (1 - strained) * rough(random), kTargetMs,
+		    kShortestMs / (1 - disturbed) * noise(random), kTargetMs,
 		    now_ms);
 		if (now_ms < 3000)
 			continue;
-		off += std::abs(load_estimate_value(&load) - users);
+		error += std::abs(load_estimate_value(&load) - users);
 		n++;
 	}
-	EXPECT_LT(off / n, 0.06);
+	EXPECT_LT(error / n, 0.06);
 	EXPECT_NEAR(interference_effect(p, web, bad), kBadEffect, 1);
 	EXPECT_LT(interference_effect(p, web, good), 0.6);
 	interference_free(p);
 }
 
-// One listed tail in thirty is far off.  The least ever seen is no measure of
-// the shortest: with it every load and effect comes out wrong from then on.
-TEST(Press, OneShortTailIsNotTheShortest)
+// One listed tail in thirty is far off.  The minimum is no measure of the
+// shortest tail: with it every load and effect is wrong from then on.
+TEST(Interference, OneShortTailIsNotTheShortest)
 {
 	struct interference *p = interference_new();
 	struct load_estimate load = {};
@@ -209,13 +215,14 @@
 	for (int i = 0; i < 600; i++)
 		interference_update(p, web, &load, nullptr, 0,
 		    i % 60 == 0 ? 5 : 13 + i % 20, kTargetMs, 1000 + 40 * i);
-	// A load of 0.2 is taken for the least: 0.8 of 13 ms is no load.
+	// The lowest load is assumed to be 0.2, so that the tail without load
+	// is 0.8 of 13 ms.
 	EXPECT_NEAR(interference_load_limit(p, web, kTargetMs),
 	    1 - 0.8 * 13 / 50, 0.04);
 	interference_free(p);
 }
 
-TEST(Press, NothingIsKnownAtFirst)
+TEST(Interference, NothingIsKnownAtFirst)
 {
 	World world(1);
 	struct load_estimate none = {};
@@ -227,10 +234,10 @@
 	    0.8);
 }
 
-TEST(Press, ImagesRunOut)
+TEST(Interference, ImagesRunOut)
 {
 	struct interference *p = interference_new();
-	struct filler_usage dose = { IMAGE_NONE, 0.1 };
+	struct filler_usage usage = { IMAGE_NONE, 0.1 };
 	struct load_estimate load = {};
 	char name[16];
 
@@ -239,14 +246,14 @@
 		EXPECT_EQ(interference_image(p, name), i);
 	}
 	EXPECT_EQ(interference_image(p, "one more"), IMAGE_NONE);
-	interference_update(p, IMAGE_NONE, &load, &dose, 1, 10, 50, 1000);
-	interference_update(p, 0, &load, &dose, 1, 10, 50, 1000);
+	interference_update(p, IMAGE_NONE, &load, &usage, 1, 10, 50, 1000);
+	interference_update(p, 0, &load, &usage, 1, 10, 50, 1000);
 	EXPECT_DOUBLE_EQ(interference_effect(p, 0, IMAGE_NONE), 1);
 	interference_free(p);
 }
 
-// The next leader goes on with what the former one knew.
-TEST(Press, WhatIsLearntIsHandedOn)
+// The next leader continues with what the former one has learnt.
+TEST(Interference, WhatIsLearntIsHandedOn)
 {
 	World world(1), next(2);
 
--- a/tests/test_room.cc
+++ b/tests/test_room.cc
@@ -9,7 +9,7 @@
 	const struct resources capacity = { 4, 4, 2 };
 	struct room room;
 
-	/* Every sequence of three reservations of 0-3 in each dimension. */
+	/* All sequences of three reservations of 0-3 in each dimension. */
 	for (int a = 0; a < 64 * 64 * 64; a++) {
 		room_init(&room, &capacity);
 		for (int i = 0, rest = a; i < 3; i++, rest /= 64) {
--- a/tests/test_sched.cc
+++ b/tests/test_sched.cc
@@ -1,9 +1,9 @@
 #include "sched_fixture.h"
 
-// A worker's answer reaches the leader after the leader gave up on it, and the
-// worker is silent from then on.  The worker has told of the end and may hold
-// it for noted: once its lease is over, the task that is done must not be
-// started again; the one that was running must.
+// A worker's answer arrives after its poll timed out, and the worker is silent
+// from then on.  The worker has reported the end and may assume that it was
+// noted.  Once the lease is over, the completed task must not be started
+// again; the task that was running must be.
 TEST_F(Sched, EndsOfALateAnswerCount)
 {
 	struct sched_worker *w = AddWorker("w", 4000);
@@ -12,7 +12,7 @@
 
 	Add(Graph("a", 2, 1000));
 	Fence();
-	AllStarted();
+	ConfirmStarts();
 	ASSERT_EQ(started.size(), 2u);
 	sched_poll_answered(s, w, ANSWER_LOST, nullptr, now);
 	done = End(1, started[0], END_DONE);
@@ -23,17 +23,16 @@
 	EXPECT_EQ(started[2].task.index, started[1].task.index);
 }
 
-// A worker answers its looks, but its tasks make no progress.  The caller
-// waits for a job that never ends; so the task is stopped there and started
-// on another worker.
-TEST_F(Sched, ATaskThatStandsStillGoesElsewhere)
+// A worker answers its polls, but its task makes no progress, so its job would
+// never end.  The task is stopped there and started on another worker.
+TEST_F(Sched, ATaskWithoutProgressIsMoved)
 {
 	struct sched_worker *w = AddWorker("w", 2000);
 	size_t before;
 
 	Add(Graph("a", 1, 1000));
 	Fence();
-	AllStarted();
+	ConfirmStarts();
 	ASSERT_EQ(started.size(), 1u);
 	AddWorker("other", 1000);
 	Answer(sched_worker_find(s, "other"));
@@ -53,10 +52,11 @@
 	EXPECT_EQ(started.back().worker, "other");
 }
 
-// A former leader, or an order that was carried out late, has paced a filler
-// down; this leader takes it to be at work.  Its job would never end.  It is
-// told to work again, and only moved if that doesn't help.
-TEST_F(Sched, AFillerThatStandsStillIsToldToWork)
+// A filler was throttled by a former leader, or by an order that was carried
+// out late, while this leader assumes full pace.  Its job would never end.
+// The leader repeats the order to run at full pace, and moves the task only if
+// that doesn't help.
+TEST_F(Sched, AFillerWithoutProgressIsToldToRunAtFullPace)
 {
 	struct sched_worker *w = AddWorker("w", 8000);
 	struct graph *filler = Graph("b", 1, 1000);
@@ -65,7 +65,7 @@
 	filler->steps[0].filler = true;
 	Add(filler);
 	Fence();
-	AllStarted();
+	ConfirmStarts();
 	ASSERT_EQ(started.size(), 1u);
 	for (int64_t end = now + 3000; now < end; now += 250) {
 		if (!paced.empty())
@@ -83,8 +83,9 @@
 	EXPECT_TRUE(stopped.empty());
 }
 
-// The same, but the worker hangs: the order to work changes nothing.
-TEST_F(Sched, AFillerThatStaysStillIsMoved)
+// As above, but the worker hangs and the order has no effect, so the task is
+// moved.
+TEST_F(Sched, AFillerThatStaysWithoutProgressIsMoved)
 {
 	struct sched_worker *w = AddWorker("w", 8000);
 	struct graph *filler = Graph("b", 1, 1000);
@@ -94,7 +95,7 @@
 	filler->steps[0].filler = true;
 	Add(filler);
 	Fence();
-	AllStarted();
+	ConfirmStarts();
 	for (int64_t end = now + 4000; now < end; now += 250) {
 		Answer(
 		    w, { { started[0].task, started[0].attempt, "", 10, 0 } });
@@ -127,7 +128,8 @@
 	EXPECT_EQ(started.size(), 2u);
 }
 
-// Guards against starts on a worker whose room has shrunk under its tasks.
+// Guards against starts on a worker whose capacity fell below what its tasks
+// use.
 TEST_F(Sched, ARoomThatShrinksTakesNothingUntilItFits)
 {
 	const struct resources small = { 2500, 64000, 0 };
@@ -136,10 +138,10 @@
 
 	Add(Graph("a", 4, 1500));
 	Fence();
-	AllStarted();
+	ConfirmStarts();
 	ASSERT_EQ(started.size(), 2u);
 	sched_worker_listed(s, w, &small, false, 0, now += 10);
-	Answer(w, AtWork());
+	Answer(w, RunningRows());
 	sched_act(s, now += 60);
 	EXPECT_EQ(started.size(), 2u);
 	Answer(w, { { started[1].task, started[1].attempt, "", 50, 0 } },
@@ -151,7 +153,8 @@
 	EXPECT_EQ(started.size(), 4u);
 }
 
-// Guards against a gang, or a stop under way, that counts the former room.
+// Guards against a gang placed by the former capacity of a worker, also while
+// a stop is in progress.
 TEST_F(Sched, AShrunkRoomHoldsForGangsAndWhileAStopLasts)
 {
 	const struct resources small = { 3000, 64000, 0 };
@@ -161,7 +164,7 @@
 
 	gang->steps[0].gang = true;
 	Fence();
-	AllStarted();
+	ConfirmStarts();
 	sched_job_cancel(s, job, now);
 	sched_act(s, now += 10);
 	ASSERT_EQ(stopped.size(), 1u);
@@ -182,7 +185,7 @@
 	struct sched_job *job = Add(Graph("a", 1, 2000));
 
 	Fence();
-	AllStarted();
+	ConfirmStarts();
 	ASSERT_EQ(started.size(), 1u);
 	Order first = started[0];
 	sched_job_cancel(s, job, now);
@@ -202,9 +205,10 @@
 	EXPECT_EQ(started.size(), 2u);
 }
 
-// After a takeover a worker's first answer names a job that isn't known yet,
-// so its list can't be used whole.  The former leader may have renewed the
-// lease there a moment ago: nothing of its jobs starts before that has lapsed.
+// After a takeover, the first answer of a worker names an unknown job, so its
+// list can't be applied completely.  The former leader may just have renewed
+// the lease there: no task of the former leader's jobs starts before that
+// lease has expired.
 TEST_F(Sched, FirstAnswerMayHoldAFormerLeadersLease)
 {
 	struct sched_worker *half, *other;
@@ -226,22 +230,22 @@
 	while (started.empty() && now < begin + 20000) {
 		now += 50;
 		sched_act(s, now);
-		for (auto &id : std::vector<std::string>(looked)) {
+		for (auto &id : std::vector<std::string>(polled)) {
 			if (id == "other")
 				Answer(other);
 			else
 				sched_poll_answered(
 				    s, half, ANSWER_LOST, nullptr, now);
 		}
-		looked.clear();
+		polled.clear();
 	}
 	EXPECT_GE(now, begin + options.lease_ms);
 	EXPECT_LT(now, begin + 20000);
 }
 
-// Takeovers come one after the other while a worker is silent.  The record
-// has its lease expire in a second: what may run there waits so long, and not
-// for a whole lease counted from the beginning of this term.
+// Leaders are replaced one after another while a worker is silent.  The record
+// says that its lease expires in a second.  Tasks that may run there wait for
+// this time, not for a whole lease counted from the beginning of this term.
 TEST_F(Sched, AnExpiringLeaseIsWaitedForNoLongerThanItLasts)
 {
 	struct sched_worker *silent = Inherit("silent", RECORD_EXPIRING, 1000);
@@ -258,10 +262,10 @@
 	EXPECT_LT(now, begin + options.lease_ms);
 }
 
-// A worker was silent and answers again.  As long as the store may have it
-// expire, a next leader counts on that: its lease isn't renewed, and nothing
-// is started there.
-TEST_F(Sched, NothingIsRenewedThatTheRecordMayHaveExpire)
+// A worker was silent and answers again.  As long as the store may say that
+// its lease is expiring, a next leader relies on that: the lease isn't
+// renewed, and nothing is started there.
+TEST_F(Sched, NoLeaseIsRenewedThatTheRecordMayDeclareExpiring)
 {
 	struct sched_worker *w = AddWorker("w", 4000);
 
@@ -293,9 +297,9 @@
 	EXPECT_EQ(started.size(), 1u);
 }
 
-// Workers left one after the other, and leaders were replaced. Each task waits
-// for the worker that it may run on, and no other: with one wait for all, none
-// would start as long as workers go on leaving.
+// Workers leave one after another while leaders are replaced.  Each task waits
+// only for the worker that it may run on: with a common wait, no task would
+// start as long as workers keep leaving.
 TEST_F(Sched, EachTaskWaitsForItsOwnWorkerOnly)
 {
 	std::vector<task_name> first = { { "a", 0, 0, 0 } };
@@ -318,9 +322,9 @@
 	EXPECT_EQ(started.size(), 3u);
 }
 
-// A run of a cancelled job is being stopped, and its worker drains.  The end of
-// the job isn't saved yet: a next leader would take the job for open, so the
-// run must be named in the record all the same.
+// A run of a cancelled job is being stopped while its worker drains.  The end
+// of the job isn't saved yet, so a next leader would take the job for open:
+// the run must still be named in the record.
 TEST_F(Sched, ARunThatNobodyNeedsIsNamedInTheRecord)
 {
 	struct sched_worker *w = AddWorker("w", 4000);
@@ -332,12 +336,12 @@
 	Fence();
 	ASSERT_EQ(started.size(), 1u);
 	o = started[0];
-	AllStarted();
+	ConfirmStarts();
 	sched_job_cancel(s, job, now);
 	Answer(w, {}, { End(1, o, END_STOPPED) });
 	now += 10;
 	sched_act(s, now);
-	// A later attempt of it, which a former leader had ordered.
+	// A later attempt of the task, ordered by a former leader.
 	Answer(w, { { o.task, o.attempt + 1, "", 10, 0 } });
 	sched_worker_listed(s, w, &capacity, true, now + 4000, now);
 	now += 10;
@@ -352,8 +356,8 @@
 	EXPECT_GT(sched_worker_lease_left_ms(s, w, now), 0);
 }
 
-// The first answer of a worker whose lease expires comes late, and the next
-// one at once.  The lease must not be thought to end earlier for that.
+// The first answer of a worker with an expiring lease arrives late, and the
+// next one at once.  This must not shorten the computed lease.
 TEST_F(Sched, ALateFirstAnswerShortensNoLease)
 {
 	struct sched_worker *w = Inherit("w", RECORD_EXPIRING, 4000);
@@ -364,7 +368,8 @@
 	AddWorker("w", 4000);
 	Add(Graph("unknown", 1, 1000), true);
 	sched_act(s, now);
-	// Its list can't be used whole, so it stays unsettled.
+	// Its list can't be applied completely, so the worker remains
+	// unfenced.
 	Order foreign;
 	memset(&foreign.task, 0, sizeof(foreign.task));
 	strlcpy(foreign.task.job, "not-known", sizeof(foreign.task.job));
@@ -381,8 +386,8 @@
 	EXPECT_GE(now + sched_worker_lease_left_ms(s, w, now), lapses);
 }
 
-// A worker drains.  What may run there is written down before it leaves, and
-// its lease is renewed all the while.
+// The tasks that may run on a draining worker are recorded before it leaves,
+// and its lease is still renewed.
 TEST_F(Sched, ADrainingWorkerIsClosedAndStillRenewed)
 {
 	struct sched_worker *w = AddWorker("w", 4000);
@@ -391,7 +396,7 @@
 
 	Add(Graph("a", 2, 1000));
 	Fence();
-	AllStarted();
+	ConfirmStarts();
 	ASSERT_EQ(started.size(), 2u);
 	sched_worker_listed(s, w, &capacity, true, now + 4000, now);
 	sched_act(s, now);
@@ -413,9 +418,10 @@
 	EXPECT_GT(renewed, now);
 }
 
-// Tasks that last run on a worker that says it leaves.  Their callers would
-// find nobody for a lease after it went; so they are stopped while it still
-// answers and go on elsewhere, no more at a time than the step bears.
+// Long-running tasks run on a draining worker.  After its departure their
+// callers would find nobody for the time of a lease.  So they are stopped
+// while the worker still answers and started elsewhere, at most may_be_away at
+// a time.
 TEST_F(Sched, LastingTasksMoveBeforeTheirWorkerLeaves)
 {
 	struct sched_worker *w = AddWorker("w", 4000);
@@ -426,9 +432,9 @@
 	g->steps[0].may_be_away = 2;
 	Add(g);
 	Fence();
-	AllStarted();
+	ConfirmStarts();
 	ASSERT_EQ(started.size(), 4u);
-	Answer(w, AtWork());
+	Answer(w, RunningRows());
 	AddWorker("other", 16000);
 	Answer(sched_worker_find(s, "other"));
 	sched_worker_listed(s, w, &capacity, true, now + 4000, now);
@@ -438,7 +444,7 @@
 	now += 100;
 	sched_act(s, now);
 	ASSERT_EQ(stopped.size(), 2u);
-	// Their ends are listed: they start elsewhere.
+	// Their ends are listed, so they start elsewhere.
 	for (auto &o : std::vector<Order>(stopped))
 		sched_stop_answered(
 		    s, w, &o.task, o.attempt, ANSWER_OK, now, now);
@@ -449,13 +455,14 @@
 	sched_act(s, now);
 	ASSERT_EQ(started.size(), 6u);
 	EXPECT_EQ(started[4].worker, "other");
-	// It leaves soon: the rest moves, however many are away.
+	// The worker leaves soon: the other tasks move regardless of how many
+	// are away.
 	now += 2500;
 	sched_act(s, now);
 	EXPECT_EQ(stopped.size(), 4u);
 }
 
-// There is no room elsewhere: a task that lasts stays until its worker goes.
+// Without room elsewhere, a long-running task stays until its worker leaves.
 TEST_F(Sched, LastingTasksStayWithoutRoomElsewhere)
 {
 	struct sched_worker *w = AddWorker("w", 4000);
@@ -465,9 +472,9 @@
 	g->steps[0].lasts = true;
 	Add(g);
 	Fence();
-	AllStarted();
+	ConfirmStarts();
 	ASSERT_EQ(started.size(), 2u);
-	Answer(w, AtWork());
+	Answer(w, RunningRows());
 	AddWorker("other", 1000);
 	Answer(sched_worker_find(s, "other"));
 	sched_worker_listed(s, w, &capacity, true, now + 4000, now);
@@ -478,9 +485,9 @@
 	EXPECT_TRUE(stopped.empty());
 }
 
-// A worker that no earlier leader has used never answers: nothing of theirs
-// can run there, and tasks of earlier terms don't wait for it.
-TEST_F(Sched, AWorkerThatNobodyUsedHoldsNobodyUp)
+// A worker that no earlier leader has used never answers.  None of their tasks
+// can run there, so tasks of earlier terms don't wait for it.
+TEST_F(Sched, AnUnusedWorkerDelaysNoTask)
 {
 	Inherit("other", RECORD_IN_USE);
 	AddWorker("other", 4000);
@@ -491,9 +498,10 @@
 	EXPECT_EQ(started.size(), 1u);
 }
 
-// The last leader, not knowing that it was replaced, may be told of a job and
-// start it on a worker that only the new one can't reach.  A job that comes in
-// that time waits until the worker has surely lapsed; a later one doesn't.
+// The last leader, unaware that it was replaced, may be told of a job and
+// start it on a worker that only the new leader can't reach.  A job that is
+// stored in this period waits until that worker's lease has surely expired; a
+// later job doesn't.
 TEST_F(Sched, AJobThatTheLastLeaderMayHaveStartedWaits)
 {
 	Inherit("silent", RECORD_IN_USE);
@@ -510,9 +518,9 @@
 	EXPECT_EQ(started.size(), 2u);
 }
 
-// A worker's clock is slow by 2 % and the leader leads for long.  A lease that
-// ends later on that clock than a whole lease from now would outlast what a
-// next leader waits for, and a task would run twice.
+// A worker's clock is slow by 2 % and the leader leads for a long time.  A
+// lease whose end on that clock is later than a whole lease from now would
+// outlast what a next leader waits for, and a task would run twice.
 TEST_F(Sched, ALeaseIsNoLongerOnASlowClock)
 {
 	struct sched_worker *w = AddWorker("w", 4000);
@@ -530,8 +538,8 @@
 	EXPECT_GT(renewed, now * 98 / 100 + options.lease_ms - 1500);
 }
 
-// A task fails on two workers; their lists arrive in the other order, and the
-// first one is told again.  Each attempt counts once.
+// A task fails on two workers; their lists arrive in reverse order, and the
+// first failure is reported again.  Each attempt counts once.
 TEST_F(Sched, FailuresCountOnceInAnyOrder)
 {
 	struct sched_worker *w = AddWorker("w", 4000);
@@ -552,7 +560,7 @@
 	now += 100;
 	sched_act(s, now);
 	ASSERT_EQ(started.size(), 1u);
-	AllStarted();
+	ConfirmStarts();
 	Answer(w, {}, { End(3, started[0], END_FAILED) });
 	EXPECT_EQ(job->state, JOB_FAILED);
 }
@@ -604,7 +612,7 @@
 	g->steps[1].nafter = 1;
 	Add(g);
 	Fence();
-	AllStarted();
+	ConfirmStarts();
 	ASSERT_EQ(started.size(), 2u);
 	Answer(w, {}, { End(1, started[0], END_DONE) });
 	sched_act(s, now += 10);
@@ -659,32 +667,33 @@
 	Fence();
 	for (enum run_end how : { END_DONE, END_FAILED, END_FAILED, END_FAILED,
 		 END_FAILED, END_LAPSED }) {
-		AllStarted();
+		ConfirmStarts();
 		size_t before = started.size();
 		Answer(w, {}, { End(number++, started.back(), how) });
 		sched_saved(s, job, job->change, now);
 		for (int i = 0; i < 100 && started.size() == before; i++) {
 			sched_act(s, now += 100);
-			for (auto &id : std::vector<std::string>(looked)) {
+			for (auto &id : std::vector<std::string>(polled)) {
 				(void)id;
 				Answer(w);
 			}
-			looked.clear();
+			polled.clear();
 		}
 		ASSERT_EQ(started.size(), before + 1);
 	}
 	EXPECT_EQ(job->state, JOB_RUNNING);
 }
 
-// A caller may see that its job is complete only once the store has it so:
-// else the next leader, which doesn't know, would show it as running again.
+// A job may be reported as complete only once the store has saved it.
+// Otherwise the next leader, which doesn't know, would report it as running
+// again.
 TEST_F(Sched, AnEndIsShownOnlyOnceItIsSaved)
 {
 	struct sched_worker *w = AddWorker("w", 4000);
 	struct sched_job *job = Add(Graph("a", 1, 1000));
 
 	Fence();
-	AllStarted();
+	ConfirmStarts();
 	Answer(w, {}, { End(1, started[0], END_DONE) });
 	EXPECT_EQ(job->state, JOB_COMPLETED);
 	EXPECT_EQ(sched_job_visible_state(job), JOB_RUNNING);
@@ -696,8 +705,9 @@
 	EXPECT_EQ(w->acknowledged, 1u);
 }
 
-// Fillers beside a serving task that is late: the likely cause is paced down
-// within a second, all of them before the lateness becomes a breach.
+// Fillers run beside a serving task that is over its target.  The likely cause
+// is throttled within a second, and all fillers before the target is missed
+// for harm_ms.
 TEST_F(Sched, FillersAreHeldBackWhileAServingTaskIsLate)
 {
 	struct sched_worker *w = AddWorker("w", 32000);
@@ -712,7 +722,7 @@
 	Add(serving);
 	Add(filler);
 	Fence();
-	AllStarted();
+	ConfirmStarts();
 	ASSERT_EQ(started.size(), 3u);
 	int64_t begin = now;
 	std::map<uint32_t, int> pace = { { 0, 100 }, { 1, 100 } };
@@ -735,9 +745,9 @@
 	EXPECT_LT(now, begin + options.harm_ms - 1000);
 }
 
-// A worker calls an order bad, as where a permission for it is missing.  The
-// task is tried again, but not in a busy loop over all workers.
-TEST_F(Sched, AnOrderCalledBadIsTriedAgainAtLeisure)
+// A worker rejects an order as bad, for example because a permission is
+// missing.  The task is retried, but not in a busy loop over all workers.
+TEST_F(Sched, ARejectedOrderIsRetriedAfterADelay)
 {
 	struct sched_worker *w = AddWorker("w", 4000);
 
@@ -754,9 +764,9 @@
 	EXPECT_EQ(started.size(), 2u);
 }
 
-// A worker lists the end of a job that isn't known, then one of a job that
-// is, and leaves before it can be asked again.  The second end has been told:
-// its task isn't started again when the worker's lease has lapsed.
+// A worker lists the end of an unknown job, then the end of a known one, and
+// leaves before it can be polled again.  The second end has been reported: its
+// task isn't started again once the worker's lease has expired.
 TEST_F(Sched, EndsBehindAnUnknownJobsCount)
 {
 	struct sched_worker *w = AddWorker("w", 4000);
@@ -764,7 +774,7 @@
 
 	Add(Graph("a", 2, 1000));
 	Fence();
-	AllStarted();
+	ConfirmStarts();
 	ASSERT_EQ(started.size(), 2u);
 	memset(&foreign.task, 0, sizeof(foreign.task));
 	strlcpy(foreign.task.job, "not-known", sizeof(foreign.task.job));
--- a/tests/test_sched_crash.cc
+++ b/tests/test_sched_crash.cc
@@ -4,16 +4,16 @@
 #include "codec.h"
 }
 
-// Guards against a task that takes one worker after the other down.
+// Guards against a task that crashes one worker after another.
 TEST_F(SchedCrash, ATaskThatCrashesItsWorkersIsGivenUp)
 {
 	JoinAll(8, 8000);
 	Fence();
 	Add(Lasting("lasting", 8, 1000));
-	PlayCrashes(5000);
-	crashers.insert("bad");
+	SimulateCrashes(5000);
+	crashing_jobs.insert("bad");
 	Add(Graph("bad", 1, 1000));
-	PlayCrashes(60000);
+	SimulateCrashes(60000);
 	EXPECT_EQ("failed", StateOf("bad"));
 	EXPECT_GE(StartsOf("bad"), 2u);
 	EXPECT_LE(StartsOf("bad"), 5u);
@@ -21,33 +21,34 @@
 	EXPECT_EQ(8u, RunningAnywhere());
 }
 
-// Guards against a crash that is known only after the worker was forgotten.
-TEST_F(SchedCrash, ALifeThatComesLateProvesTheCrash)
+// Guards against missing a crash that is proved only after the worker was
+// forgotten.
+TEST_F(SchedCrash, ALateNewIncarnationConfirmsTheCrash)
 {
-	back_ms = 9000;
+	restart_delay_ms = 9000;
 	JoinAll(12, 8000);
 	Fence();
-	crashers.insert("bad");
+	crashing_jobs.insert("bad");
 	Add(Graph("bad", 1, 1000));
-	PlayCrashes(90000);
+	SimulateCrashes(90000);
 	EXPECT_EQ("failed", StateOf("bad"));
 	EXPECT_LE(StartsOf("bad"), 5u);
 }
 
-// Guards against a task that crashes its worker before that can answer.
+// Guards against a task that crashes its worker before the worker can answer.
 TEST_F(SchedCrash, ATaskThatCrashesBeforeTheAnswerIsGivenUp)
 {
 	answers_first = false;
 	JoinAll(8, 8000);
 	Fence();
-	crashers.insert("bad");
+	crashing_jobs.insert("bad");
 	Add(Graph("bad", 1, 1000));
-	PlayCrashes(90000);
+	SimulateCrashes(90000);
 	EXPECT_EQ("failed", StateOf("bad"));
 	EXPECT_LE(StartsOf("bad"), 5u);
 }
 
-// Guards against a count that begins anew with each leader.
+// Guards against a crash count that restarts with each leader.
 TEST_F(SchedCrash, TheCountOutlivesTheLeader)
 {
 	size_t len, starts;
@@ -55,9 +56,9 @@
 
 	JoinAll(8, 8000);
 	Fence();
-	crashers.insert("bad");
+	crashing_jobs.insert("bad");
 	Add(Graph("bad", 1, 1000));
-	PlayCrashes(4000);
+	SimulateCrashes(4000);
 	ASSERT_EQ("running", StateOf("bad"));
 	ASSERT_EQ(2u, StartsOf("bad"));
 	text = codec_progress(sched_job_find(s, "bad"), &len);
@@ -69,13 +70,13 @@
 	free(text);
 	sched_load_end(s, now);
 	Fence();
-	PlayCrashes(30000);
+	SimulateCrashes(30000);
 	EXPECT_EQ("failed", StateOf("bad"));
 	EXPECT_LE(starts + StartsOf("bad"), 5u);
 }
 
-// Guards against a record of another writer taken for counted crashes.
-TEST_F(SchedCrash, LossesOfAnotherTypeSpoilTheRecord)
+// Guards against taking progress written by someone else for counted crashes.
+TEST_F(SchedCrash, LossesOfAnotherTypeAreRejected)
 {
 	struct sched_job *job = Add(Graph("good", 1, 1000), true);
 
@@ -90,7 +91,7 @@
 	EXPECT_EQ("queued", StateOf("good"));
 }
 
-// Guards against a gang, of which one member crashes its worker.
+// Guards against a gang with a member that crashes its worker.
 TEST_F(SchedCrash, AGangWithSuchAMemberIsGivenUp)
 {
 	struct graph *g = Graph("bad", 3, 1000);
@@ -98,21 +99,21 @@
 	g->steps[0].gang = true;
 	JoinAll(8, 8000);
 	Fence();
-	crashers.insert("bad");
+	crashing_jobs.insert("bad");
 	Add(g);
-	PlayCrashes(60000);
+	SimulateCrashes(60000);
 	EXPECT_EQ("failed", StateOf("bad"));
 	EXPECT_LE(StartsOf("bad"), 15u);
 }
 
-// Guards against a task that lasts, which has no limit of failures.
+// Guards against a long-running task, which has no limit of failures.
 TEST_F(SchedCrash, ALastingTaskThatCrashesItsWorkersIsGivenUp)
 {
 	JoinAll(8, 8000);
 	Fence();
-	crashers.insert("bad");
+	crashing_jobs.insert("bad");
 	Add(Lasting("bad", 1, 1000));
-	PlayCrashes(60000);
+	SimulateCrashes(60000);
 	EXPECT_EQ("failed", StateOf("bad"));
 	EXPECT_LE(StartsOf("bad"), 5u);
 }
@@ -124,13 +125,13 @@
 	JoinAll(4, 8000);
 	Fence();
 	Add(Lasting("lasting", 3, 6000));
-	PlayCrashes(5000);
-	crashers.insert("bad");
+	SimulateCrashes(5000);
+	crashing_jobs.insert("bad");
 	Add(Graph("bad", 1, 1000));
-	PlayCrashes(3000);
+	SimulateCrashes(3000);
 	ASSERT_EQ(1u, StartsOf("bad"));
 	first = lost.size();
-	PlayCrashes(30000);
+	SimulateCrashes(30000);
 	ASSERT_EQ("failed", StateOf("bad"));
 	for (size_t i = first; i < lost.size(); i++) {
 		if (i > first &&
@@ -140,8 +141,8 @@
 	}
 }
 
-// Guards against jobs given up for crashes that come whatever runs.
-TEST_F(SchedCrash, ABadDayIsNobodysFault)
+// Guards against giving up jobs for crashes that happen whatever runs.
+TEST_F(SchedCrash, UnrelatedCrashesBlameNoTask)
 {
 	unsigned draw = 1;
 
@@ -152,11 +153,11 @@
 		std::string id = "short" + std::to_string(i);
 		Add(Graph(id.c_str(), 6, 1000));
 		run_ms[id] = 800;
-		PlayCrashes(1000);
+		SimulateCrashes(1000);
 		draw = draw * 1103515245 + 12345;
 		Crash(AnyUp(draw >> 16));
 	}
-	PlayCrashes(20000);
+	SimulateCrashes(20000);
 	EXPECT_EQ("running", StateOf("lasting"));
 	for (int i = 0; i < 60; i++)
 		EXPECT_EQ("completed",
@@ -164,8 +165,8 @@
 	EXPECT_EQ(0u, s->counts.given_up);
 }
 
-// Guards against a long task given up for a row of crashes on a bad day.
-TEST_F(SchedCrash, ALongTaskOnABadDayIsTriedOn)
+// Guards against giving up a long task for a series of unrelated crashes.
+TEST_F(SchedCrash, ALongTaskIsRetriedDespiteUnrelatedCrashes)
 {
 	struct graph *g = Graph("long", 1, 1000);
 	unsigned draw = 1;
@@ -175,7 +176,7 @@
 	g->steps[0].estimate_ms = 60000;
 	Add(g);
 	for (int i = 0; i < 60; i++) {
-		PlayCrashes(1500);
+		SimulateCrashes(1500);
 		draw = draw * 1103515245 + 12345;
 		Crash(AnyUp(draw >> 16));
 	}
@@ -183,23 +184,23 @@
 	EXPECT_EQ("running", StateOf("long"));
 }
 
-// Guards against workers that are cut off being taken for crashed.
-TEST_F(SchedCrash, ACutWorkerIsNoCrash)
+// Guards against taking unreachable workers for crashed ones.
+TEST_F(SchedCrash, AnUnreachableWorkerIsNoCrash)
 {
 	JoinAll(8, 8000);
 	Fence();
 	Add(Graph("good", 1, 1000));
 	for (int i = 0; i < 6; i++) {
-		PlayCrashes(100);
+		SimulateCrashes(100);
 		ASSERT_FALSE(started.empty());
 		std::string id = started.back().worker;
-		at[id].reachable = false;
-		PlayCrashes(9000);
+		sim[id].reachable = false;
+		SimulateCrashes(9000);
 		EXPECT_EQ("running", StateOf("good"));
-		at[id].reachable = true;
-		at[id].running.clear();
+		sim[id].reachable = true;
+		sim[id].running.clear();
 	}
-	PlayCrashes(1000);
+	SimulateCrashes(1000);
 	EXPECT_EQ("running", StateOf("good"));
 	EXPECT_EQ(0u,
 	    sched_job_find(s, "good")
@@ -209,17 +210,17 @@
 		.nlosses);
 }
 
-// Guards against a task blamed for a worker that left as it had said.
+// Guards against blaming a task for a worker that left as announced.
 TEST_F(SchedCrash, AnAnnouncedDepartureIsNoCrash)
 {
 	JoinAll(8, 8000);
 	Fence();
 	Add(Lasting("good", 1, 1000));
 	for (int i = 0; i < 6; i++) {
-		PlayCrashes(100);
+		SimulateCrashes(100);
 		ListAsDraining(started.back().worker.c_str(), 8000);
 		Crash(started.back().worker);
-		PlayCrashes(10000);
+		SimulateCrashes(10000);
 		EXPECT_EQ("running", StateOf("good"));
 	}
 }
@@ -229,9 +230,9 @@
 	JoinAll(1, 8000);
 	Fence();
 	Add(Lasting("lasting", 2, 1000));
-	PlayCrashes(5000);
+	SimulateCrashes(5000);
 	Crash(started[0].worker);
-	PlayCrashes(4000);
+	SimulateCrashes(4000);
 	ASSERT_EQ(2u, lost.size());
 	EXPECT_EQ(LOSS_OTHER_INCARNATION, lost[0].cause);
 	EXPECT_STREQ("lasting", lost[0].order.task.job);
--- a/tests/test_sched_drain.cc
+++ b/tests/test_sched_drain.cc
@@ -2,8 +2,8 @@
 
 namespace {
 
-// A worker that is listed as draining, and what may not start there then.
-class Drain : public SchedPlay {
+// A worker that is listed as draining, on which nothing may be started.
+class Drain : public SchedSim {
       protected:
 	size_t
 	StartsOn(const char *worker, size_t since = 0) const
@@ -19,43 +19,43 @@
 
 } // namespace
 
-// One worker of two is listed as draining while it is idle.  Jobs that come
-// then run on the other one only, and those that find no room there wait
-// instead of being started on a worker that is about to leave.
+// One of two workers is listed as draining while it is idle.  Jobs that arrive
+// then run only on the other one; those that find no room there wait and
+// aren't started on a worker that is about to leave.
 TEST_F(Drain, WorkGoesElsewhereOrWaits)
 {
 	Join("w1", 4000);
 	Join("w2", 2000);
-	Play(300);
+	Simulate(300);
 	ListAsDraining("w1", 4000);
 	Add(Graph("a", 3, 1000));
-	Play(1000);
+	Simulate(1000);
 	EXPECT_EQ(StartsOn("w1"), 0u);
 	EXPECT_EQ(StartsOn("w2"), 2u);
 }
 
 // Tasks wait for room when their worker is listed as draining; then its runs
-// end and it is empty.  The tasks stay where they are until another worker
-// comes, which gets them all.
+// end and it is empty.  The tasks still wait until another worker joins, and
+// all start there.
 TEST_F(Drain, WorkThatWaitedIsNotStartedInTheRoomThatComesFree)
 {
 	Join("w1", 2000);
 	Add(Graph("a", 4, 1000));
 	run_ms["a"] = 1000;
-	Play(500);
+	Simulate(500);
 	ASSERT_EQ(StartsOn("w1"), 2u);
 	ListAsDraining("w1", 2000);
-	Play(2000);
+	Simulate(2000);
 	EXPECT_EQ(RunningAnywhere(), 0u);
 	EXPECT_EQ(started.size(), 2u);
 	Join("w2", 4000);
-	Play(500);
+	Simulate(500);
 	EXPECT_EQ(StartsOn("w1"), 2u);
 	EXPECT_EQ(StartsOn("w2"), 2u);
 }
 
 // A gang of three would fit on two workers, of which one drains.  No member is
-// started, on either of them, until a third worker has room for the rest.
+// started on either of them until a third worker has room for the others.
 TEST_F(Drain, AGangTakesNoPlaceThere)
 {
 	struct graph *g = Graph("a", 3, 2000);
@@ -63,51 +63,51 @@
 	g->steps[0].gang = true;
 	Join("w1", 4000);
 	Join("w2", 2000);
-	Play(300);
+	Simulate(300);
 	ListAsDraining("w1", 4000);
 	Add(g);
-	Play(1000);
+	Simulate(1000);
 	EXPECT_TRUE(started.empty());
 	Join("w3", 4000);
-	Play(500);
+	Simulate(500);
 	EXPECT_EQ(StartsOn("w1"), 0u);
 	EXPECT_EQ(StartsOn("w2"), 1u);
 	EXPECT_EQ(StartsOn("w3"), 2u);
 }
 
-// A task runs on a worker that is listed as draining, and fails there.  It is
-// started again, but on the other worker, though that one has less room.
+// A task fails on a worker that is listed as draining.  It is started again,
+// but on the other worker, although that one has less room.
 TEST_F(Drain, ATaskThatEndsThereStartsAgainElsewhere)
 {
 	Join("w1", 8000);
 	Add(Graph("a", 1, 1000));
-	Play(300);
+	Simulate(300);
 	ASSERT_EQ(StartsOn("w1"), 1u);
 	ListAsDraining("w1", 8000);
-	Play(300);
-	EndRun(at["w1"], 0, END_FAILED);
-	Play(1000);
+	Simulate(300);
+	EndRun(sim["w1"], 0, END_FAILED);
+	Simulate(1000);
 	EXPECT_EQ(started.size(), 1u);
 	Join("w2", 1000);
-	Play(500);
+	Simulate(500);
 	EXPECT_EQ(StartsOn("w1"), 1u);
 	EXPECT_EQ(StartsOn("w2"), 1u);
 }
 
-// The drain ends, as when a replacement is called off: the worker is listed as
-// before.  Work that waited starts there then, and not sooner.
+// The drain ends, for example because a replacement is called off, and the
+// worker is listed as before.  Work that waited starts there then, not sooner.
 TEST_F(Drain, AWorkerThatNoLongerDrainsIsUsedAgain)
 {
 	const struct resources capacity = { 4000, 64000, 0 };
 
 	Join("w1", 4000);
-	Play(300);
+	Simulate(300);
 	ListAsDraining("w1", 4000);
 	Add(Graph("a", 1, 1000));
-	Play(3000);
+	Simulate(3000);
 	EXPECT_TRUE(started.empty());
 	sched_worker_listed(
 	    s, sched_worker_find(s, "w1"), &capacity, false, 0, now);
-	Play(500);
+	Simulate(500);
 	EXPECT_EQ(StartsOn("w1"), 1u);
 }
--- a/tests/test_sched_due.cc
+++ b/tests/test_sched_due.cc
@@ -2,9 +2,9 @@
 
 namespace {
 
-// A job that is repeated each second, from two seconds on.  Its due times are
-// of the wall clock, which tells another time than the clock of the leader.
-class Due : public SchedPlay {
+// A job that is repeated each second, beginning in two seconds.  Its due times
+// are of the wall clock, which differs from the leader's clock.
+class Due : public SchedSim {
       protected:
 	static const int64_t WALL_AHEAD_MS = 1700000000000;
 
@@ -34,7 +34,7 @@
 		s = sched_open(&options);
 	}
 
-	// One leader and one worker; each time runs for so long.
+	// Starts one leader and one worker; each occurrence runs for runs_ms.
 	void
 	Begin(uint32_t repeats, int64_t runs_ms)
 	{
@@ -44,8 +44,8 @@
 		run_ms["a"] = runs_ms;
 	}
 
-	// Another entry leads.  It reads of the job what was saved: the
-	// occurrences that are done.  Workers keep what runs there.
+	// Another entry becomes the leader.  It loads what was saved of the
+	// job: the completed occurrences.  Workers keep their runs.
 	struct sched_job *
 	TakeOver(uint64_t term, uint32_t repeats, uint32_t ndone)
 	{
@@ -61,9 +61,9 @@
 		return job;
 	}
 
-	// Each occurrence started once, in order, and at its time.
+	// Verifies that each occurrence started once, in order and on time.
 	void
-	StartedInTime(uint32_t n)
+	ExpectStartedInTime(uint32_t n)
 	{
 		ASSERT_EQ(started.size(), n);
 		for (uint32_t i = 0; i < n; i++) {
@@ -78,86 +78,87 @@
 
 } // namespace
 
-// A job is to run four times, a second apart.  Each time starts when it is due
-// and not before, though there is room all the while and the one before it has
-// ended early; the job is complete after the fourth.
+// A job is to run four times, a second apart.  Each occurrence starts when it
+// is due and not before, although there is room all the while and the previous
+// occurrence has ended early.  The job is complete after the fourth.
 TEST_F(Due, OccurrencesStartAtTheirTimes)
 {
 	Lead(1);
 	Join("w1", 8000);
 	struct sched_job *job = Add(Repeated(4));
 	run_ms["a"] = 300;
-	Play(1900);
+	Simulate(1900);
 	EXPECT_TRUE(started.empty());
 	for (uint32_t i = 1; i <= 4; i++) {
-		Play(1000);
-		StartedInTime(i);
+		Simulate(1000);
+		ExpectStartedInTime(i);
 	}
 	EXPECT_EQ(job->state, JOB_COMPLETED);
 }
 
-// A time is longer than the interval: the next one starts at its own time all
-// the same, and doesn't wait for the former one.
+// An occurrence takes longer than the interval: the next one starts on time
+// nevertheless, and doesn't wait for the previous one.
 TEST_F(Due, ALongOccurrenceDelaysNoOther)
 {
 	Begin(3, 2500);
-	Play(5000);
-	StartedInTime(3);
+	Simulate(5000);
+	ExpectStartedInTime(3);
 }
 
-// The leader is replaced after the first time has ended, and again while the
-// second one runs.  No occurrence starts early because its times are read anew,
-// none is left out, and the one that runs isn't started again.
+// The leader is replaced after the first occurrence has ended, and again while
+// the second one runs.  No occurrence starts early because the due times are
+// loaded again, none is skipped, and the one that runs isn't started again.
 TEST_F(Due, OccurrencesKeepTheirTimesOverChangesOfTheLeader)
 {
 	Begin(4, 400);
-	Play(2600);
-	StartedInTime(1);
+	Simulate(2600);
+	ExpectStartedInTime(1);
 	TakeOver(2, 4, 1);
-	Play(300);
-	StartedInTime(1);
-	Play(300);
-	StartedInTime(2);
+	Simulate(300);
+	ExpectStartedInTime(1);
+	Simulate(300);
+	ExpectStartedInTime(2);
 	ASSERT_EQ(RunningAnywhere(), 1u);
 	struct sched_job *job = TakeOver(3, 4, 1);
-	Play(700);
-	StartedInTime(2);
+	Simulate(700);
+	ExpectStartedInTime(2);
 	EXPECT_EQ(job->occurrences_done, 2u);
-	Play(1500);
-	StartedInTime(4);
-	Play(1000);
-	StartedInTime(4);
+	Simulate(1500);
+	ExpectStartedInTime(4);
+	Simulate(1000);
+	ExpectStartedInTime(4);
 	EXPECT_EQ(job->state, JOB_COMPLETED);
 }
 
-// A new leader takes over before the first time is due, when its worker lists
-// nothing.  It waits for the first time as the one before it did.
+// A new leader takes over before the first occurrence is due, when its worker
+// lists nothing.  It waits for the due time like the previous leader.
 TEST_F(Due, ALeaderThatComesBeforeTheFirstTimeWaitsForIt)
 {
 	Begin(2, 400);
-	Play(1000);
+	Simulate(1000);
 	TakeOver(2, 2, 0);
-	Play(900);
+	Simulate(900);
 	EXPECT_TRUE(started.empty());
-	Play(2000);
-	StartedInTime(2);
+	Simulate(2000);
+	ExpectStartedInTime(2);
 }
 
-// The end of the first time was saved, but the leader was replaced before the
-// worker was told so: the worker tells the next leader of it again.  That end
-// counts once, so the last time is still run and the job isn't complete before.
+// The end of the first occurrence was saved, but the leader was replaced
+// before it acknowledged the end, so the worker reports it again to the next
+// leader. The end counts once: the last occurrence still runs, and the job
+// isn't complete before.
 TEST_F(Due, AnEndToldAgainToTheNextLeaderCountsOnce)
 {
 	Begin(3, 400);
-	Play(2600);
-	StartedInTime(1);
-	at["w1"].ended.push_back({ 1, started[0], END_DONE });
+	Simulate(2600);
+	ExpectStartedInTime(1);
+	sim["w1"].ended.push_back({ 1, started[0], END_DONE });
 	struct sched_job *job = TakeOver(2, 3, 1);
-	Play(200);
+	Simulate(200);
 	EXPECT_EQ(job->occurrences_done, 1u);
-	Play(1400);
+	Simulate(1400);
 	EXPECT_NE(job->state, JOB_COMPLETED);
-	Play(1000);
-	StartedInTime(3);
+	Simulate(1000);
+	ExpectStartedInTime(3);
 	EXPECT_EQ(job->state, JOB_COMPLETED);
 }
--- a/tests/test_sched_gang.cc
+++ b/tests/test_sched_gang.cc
@@ -2,9 +2,9 @@
 
 namespace {
 
-// A gang of three on three workers, of which the second one fails to start
-// its member.
-class Gang : public SchedPlay {
+// A gang of three on three workers, of which the second one fails to start its
+// member.
+class Gang : public SchedSim {
       protected:
 	void
 	StartOnThree()
@@ -18,24 +18,25 @@
 		Add(g);
 	}
 
-	// The same; a start on the second worker has this answer.  Play until
-	// all three were sent.
+	// As above, but starts on the second worker get this answer.  Returns
+	// once all three starts were sent.
 	void
 	StartOnThree(enum worker_answer second)
 	{
 		StartOnThree();
-		at["w2"].to_start = second;
+		sim["w2"].start_answer = second;
 		for (int i = 0; i < 20 && started.empty(); i++)
-			Play(50);
+			Simulate(50);
 	}
 
-	// What runs is the whole gang, under one attempt above the given one.
+	// Verifies that the whole gang runs, under one attempt above the given
+	// one.
 	void
-	RunsWholeAbove(uint32_t attempt)
+	ExpectWholeGangAbove(uint32_t attempt)
 	{
 		std::vector<uint32_t> attempts;
 
-		for (auto &m : at)
+		for (auto &m : sim)
 			for (auto &r : m.second.running)
 				attempts.push_back(r.order.attempt);
 		ASSERT_EQ(attempts.size(), 3u);
@@ -44,9 +45,9 @@
 		EXPECT_EQ(attempts[2], attempts[0]);
 	}
 
-	// Each start of an attempt comes with those of the other members.
+	// Verifies that each attempt started all members.
 	void
-	WasStartedWholeEachTime()
+	ExpectAttemptsStartedWhole()
 	{
 		std::map<uint32_t, size_t> members;
 
@@ -56,9 +57,9 @@
 			EXPECT_EQ(m.second, 3u) << "attempt " << m.first;
 	}
 
-	// Those that run though the second one doesn't are told to stop.
+	// Verifies that the members on the other workers were told to stop.
 	void
-	OthersAreStopped(uint32_t attempt)
+	ExpectOthersStopped(uint32_t attempt)
 	{
 		for (auto &o : started) {
 			if (o.attempt != attempt || o.worker == "w2")
@@ -70,88 +71,88 @@
 
 } // namespace
 
-// One worker refuses its member of a gang, the other two begin theirs.  These
-// would wait for the third in vain: they are told to stop at once, and when
-// they have ended the gang starts again whole, under one higher attempt.
+// One worker refuses its member of a gang while the other two start theirs.
+// These would wait for the third in vain: they are told to stop at once, and
+// when they have ended the whole gang starts again under one higher attempt.
 TEST_F(Gang, OneRefusedMemberStopsTheOthers)
 {
 	StartOnThree();
 	for (int i = 0; i < 20 && started.empty(); i++) {
-		at["w2"].to_start = ANSWER_NO_ROOM;
-		Play(50);
+		sim["w2"].start_answer = ANSWER_NO_ROOM;
+		Simulate(50);
 	}
 	ASSERT_EQ(started.size(), 3u);
 	uint32_t first = started[0].attempt;
-	at["w2"].to_start = ANSWER_OK;
-	Play(100);
-	OthersAreStopped(first);
-	Play(2000);
-	RunsWholeAbove(first);
-	WasStartedWholeEachTime();
+	sim["w2"].start_answer = ANSWER_OK;
+	Simulate(100);
+	ExpectOthersStopped(first);
+	Simulate(2000);
+	ExpectWholeGangAbove(first);
+	ExpectAttemptsStartedWhole();
 }
 
-// The same, but the stop of one of the others is lost for a while.  There is
+// As above, but the stop of one of the others is lost for a while.  There is
 // room for the gang elsewhere, but nothing of the next attempt starts while a
 // member of the former one runs: it would run in two places.
 TEST_F(Gang, ItStartsAgainOnlyWhenAllMembersHaveEnded)
 {
 	StartOnThree();
-	at["w2"].to_start = ANSWER_NO_ROOM;
-	at["w3"].hears_stops = false;
+	sim["w2"].start_answer = ANSWER_NO_ROOM;
+	sim["w3"].receives_stops = false;
 	for (int i = 0; i < 20 && started.empty(); i++)
-		Play(50);
+		Simulate(50);
 	ASSERT_EQ(started.size(), 3u);
 	uint32_t first = started[0].attempt;
-	at["w2"].to_start = ANSWER_OK;
-	Play(1500);
+	sim["w2"].start_answer = ANSWER_OK;
+	Simulate(1500);
 	EXPECT_EQ(started.size(), 3u);
 	EXPECT_EQ(RunningAnywhere(), 1u);
-	at["w3"].hears_stops = true;
-	Play(1000);
-	RunsWholeAbove(first);
-	WasStartedWholeEachTime();
+	sim["w3"].receives_stops = true;
+	Simulate(1000);
+	ExpectWholeGangAbove(first);
+	ExpectAttemptsStartedWhole();
 }
 
-// A worker can't be reached at all, so its member surely didn't start.  The
-// others are stopped, and the gang runs on the two workers that are left.
+// A worker is unreachable, so its member certainly didn't start.  The others
+// are stopped, and the gang runs on the two workers that are left.
 TEST_F(Gang, AMemberThatWasNeverSentStopsTheOthers)
 {
 	StartOnThree(ANSWER_NOT_SENT);
 	ASSERT_EQ(started.size(), 3u);
 	uint32_t first = started[0].attempt;
-	at["w2"].reachable = false;
-	Play(100);
-	OthersAreStopped(first);
-	Play(1000);
-	RunsWholeAbove(first);
-	EXPECT_TRUE(at["w2"].running.empty());
+	sim["w2"].reachable = false;
+	Simulate(100);
+	ExpectOthersStopped(first);
+	Simulate(1000);
+	ExpectWholeGangAbove(first);
+	EXPECT_TRUE(sim["w2"].running.empty());
 }
 
-// The start of one member gets no answer and isn't carried out; the other two
-// run.  The lost one is settled by a stop, since it might begin late.  The
-// others wait for it in vain, so they are stopped as well, and the gang starts
-// again whole, under one higher attempt.
+// The start of one member gets no answer and isn't carried out, while the
+// other two run.  As the lost start may still be carried out late, a stop
+// resolves it.  The others would wait for it in vain, so they are stopped as
+// well, and the whole gang starts again under one higher attempt.
 TEST_F(Gang, OneLostMemberStopsTheOthers)
 {
 	StartOnThree(ANSWER_LOST);
 	ASSERT_EQ(started.size(), 3u);
 	uint32_t first = started[0].attempt;
-	at["w2"].to_start = ANSWER_OK;
-	Play(1000);
-	OthersAreStopped(first);
-	Play(2000);
-	RunsWholeAbove(first);
-	WasStartedWholeEachTime();
+	sim["w2"].start_answer = ANSWER_OK;
+	Simulate(1000);
+	ExpectOthersStopped(first);
+	Simulate(2000);
+	ExpectWholeGangAbove(first);
+	ExpectAttemptsStartedWhole();
 }
 
-// Three members have saved at different points when one of them breaks off and
-// the gang ends.  The next attempt resumes from one of these points, the same
-// for all members, as the work of each is only worth something with that of
-// the others.
+// Three members have saved different checkpoints when they break off and the
+// gang ends.  The next attempt resumes all members from the same one of these
+// checkpoints, since the progress of a member is of use only together with
+// that of the others.
 TEST_F(Gang, AllMembersResumeFromTheSamePoint)
 {
 	StartOnThree();
-	Play(500);
+	Simulate(500);
 	ASSERT_EQ(started.size(), 3u);
 	for (size_t i = 0; i < 3; i++) {
 		Order o = started[i];
@@ -159,7 +160,7 @@
 		std::string point = "point-" + std::to_string(i);
 
 		end.checkpoint = point.c_str();
-		at[o.worker].running.clear();
+		sim[o.worker].running.clear();
 		Answer(sched_worker_find(s, o.worker.c_str()), {}, { end });
 	}
 	sched_act(s, now += 10);
--- a/tests/test_sched_headroom.cc
+++ b/tests/test_sched_headroom.cc
@@ -2,37 +2,37 @@
 
 namespace {
 
-// Two workers of eight processors; short jobs of one queue, and another queue
-// whose jobs last.
-class SchedHeadroom : public SchedPlay {
+// Two workers of eight processors, a queue of short jobs and a queue of
+// long-running ones.
+class SchedHeadroom : public SchedSim {
       protected:
 	static constexpr int64_t kPiece = 3000, kRun = 500;
 
 	struct graph *
-	Of(const char *queue, uint32_t priority, struct graph *g)
+	SetQueue(const char *queue, uint32_t priority, struct graph *g)
 	{
 		strlcpy(g->queue, queue, sizeof(g->queue));
 		g->terms.priority = priority;
 		return g;
 	}
 
-	// A short job each kRun, of two tasks that claim kPiece each.
+	// Adds a short job each kRun, with two tasks that claim kPiece each.
 	void
-	PlayShort(int64_t for_ms, uint32_t priority)
+	SimulateShort(int64_t for_ms, uint32_t priority)
 	{
 		for (int64_t end = now + for_ms; now < end;) {
 			std::string id = "short" + std::to_string(++shorts);
 			run_ms[id] = kRun;
-			Add(Of(
+			Add(SetQueue(
 			    "short", priority, Graph(id.c_str(), 2, kPiece)));
-			Play(kRun);
+			Simulate(kRun);
 		}
 	}
 
 	void
-	AddLasting(const char *id, uint32_t count, int64_t cpu)
+	AddLongRunning(const char *id, uint32_t count, int64_t cpu)
 	{
-		struct graph *g = Of("lasting", 1, Graph(id, count, cpu));
+		struct graph *g = SetQueue("lasting", 1, Graph(id, count, cpu));
 
 		g->steps[0].lasts = true;
 		Add(g);
@@ -57,30 +57,30 @@
 
 } // namespace
 
-// Six processors are asked for all the time, so that four of sixteen may go to
-// jobs that last and no more.
+// Short work needs six processors all the time, so long-running jobs may take
+// four of sixteen and no more.
 TEST_F(SchedHeadroom, WhatShortWorkAsksForIsKept)
 {
 	Join("w1", 8000);
 	Join("w2", 8000);
-	PlayShort(20000, 1);
+	SimulateShort(20000, 1);
 	EXPECT_NEAR((double)Measure().need, 1.2 * 6000, 1500);
 	EXPECT_FALSE(Measure().full);
-	AddLasting("first", 1, 4000);
-	PlayShort(1000, 1);
+	AddLongRunning("first", 1, 4000);
+	SimulateShort(1000, 1);
 	EXPECT_FALSE(Measure().full);
-	AddLasting("second", 1, 5000);
-	PlayShort(1000, 1);
+	AddLongRunning("second", 1, 5000);
+	SimulateShort(1000, 1);
 	EXPECT_TRUE(Measure().full);
 }
 
-// Short work that is less urgent than what lasts keeps nothing from it.
+// Short work that is less urgent than long-running jobs reserves nothing.
 TEST_F(SchedHeadroom, LessUrgentWorkKeepsNothing)
 {
 	Join("w1", 8000);
-	PlayShort(5000, 2);
-	AddLasting("first", 1, 4000);
-	PlayShort(1000, 2);
+	SimulateShort(5000, 2);
+	AddLongRunning("first", 1, 4000);
+	SimulateShort(1000, 2);
 	EXPECT_EQ(Measure().need, 0);
 	EXPECT_FALSE(Measure().full);
 }
@@ -90,31 +90,32 @@
 {
 	Join("w1", 8000);
 	Join("w2", 8000);
-	AddLasting("first", 2, 6000);
-	PlayShort(2000, 1);
+	AddLongRunning("first", 2, 6000);
+	SimulateShort(2000, 1);
 	EXPECT_EQ(Measure().left, 0);
 	EXPECT_TRUE(Measure().full);
 }
 
-// Once no short work has come for a while, jobs that last get the room.
-TEST_F(SchedHeadroom, TheNeedFadesWithTheLoad)
+// Once no short work has arrived for a while, long-running jobs get the room.
+TEST_F(SchedHeadroom, TheNeedDecaysWithTheLoad)
 {
 	Join("w1", 8000);
 	Join("w2", 8000);
-	AddLasting("first", 2, 4000);
-	PlayShort(10000, 1);
+	AddLongRunning("first", 2, 4000);
+	SimulateShort(10000, 1);
 	ASSERT_TRUE(Measure().full);
-	Play(40000);
+	Simulate(40000);
 	EXPECT_FALSE(Measure().full);
 }
 
-// What was taken and isn't at work goes first: it is as good as used.
+// Accepted jobs that don't run yet are placed first, so the room owed to them
+// counts as used.
 TEST_F(SchedHeadroom, RoomOwedToJobsThatWereTakenIsntFree)
 {
 	Join("w1", 8000);
-	PlayShort(5000, 1);
-	AddLasting("first", 1, 20000);
-	PlayShort(500, 1);
+	SimulateShort(5000, 1);
+	AddLongRunning("first", 1, 20000);
+	SimulateShort(500, 1);
 	EXPECT_EQ(Measure().owed, 20000);
 	EXPECT_TRUE(Measure().full);
 }
--- a/tests/test_sched_lasting.cc
+++ b/tests/test_sched_lasting.cc
@@ -2,9 +2,9 @@
 
 namespace {
 
-// Serving tasks that last on three workers, with a queue of fillers and of
-// ordinary tasks beside them, and a fourth worker that they could move to.
-class Lasting : public SchedPlay {
+// Long-running serving tasks on three workers, with fillers and ordinary tasks
+// beside them, and a fourth worker that they could move to.
+class Lasting : public SchedSim {
       protected:
 	void
 	Fill()
@@ -22,7 +22,7 @@
 		filler->steps[0].filler = true;
 		strlcpy(filler->steps[0].image, "crunch", GRAPH_NAME_MAX);
 		Add(serving);
-		Play(500);
+		Simulate(500);
 		ASSERT_EQ(RunningAnywhere(), 3u);
 		Join("w4", 16000);
 		Add(filler);
@@ -37,7 +37,8 @@
 		Add(Graph(id.c_str(), 40, 2000));
 	}
 
-	// Stops of a serving task on any worker, or on any but one.
+	// Number of stops of serving tasks on all workers except the given
+	// one.
 	size_t
 	StopsOfServing(const char *but = "") const
 	{
@@ -53,67 +54,66 @@
 
 } // namespace
 
-// Serving tasks are over their target for seconds on one worker, so that the
-// fillers there are held back; on another one tasks take six times as long,
-// and on the third they stand still and are moved.  Neither lateness nor a
-// worker under suspicion is a reason to end a serving task: its users would
-// find nobody until it has started elsewhere.
-TEST_F(Lasting, NoTroubleStopsATaskAtWork)
+// On one worker serving tasks are over their target for seconds, so that the
+// fillers there are throttled; on another one tasks take six times as long; on
+// the third they make no progress and are moved.  Neither lateness nor a
+// suspect worker is a reason to stop a serving task: its users would find
+// nobody until it has started elsewhere.
+TEST_F(Lasting, NoFaultStopsARunningTask)
 {
 	Fill();
-	at["w2"].slow = 6;
+	sim["w2"].slowdown = 6;
 	for (int round = 0; round < 10; round++) {
 		AddBatch("batch" + std::to_string(round));
-		at["w1"].tail_ms = 400;
-		at["w2"].tail_ms = 30;
-		at["w3"].tail_ms = 30;
-		at["w3"].still = true;
-		Play(3000);
-		at["w1"].tail_ms = 30;
-		at["w3"].still = false;
-		Play(3000);
+		sim["w1"].tail_ms = 400;
+		sim["w2"].tail_ms = 30;
+		sim["w3"].tail_ms = 30;
+		sim["w3"].no_progress = true;
+		Simulate(3000);
+		sim["w1"].tail_ms = 30;
+		sim["w3"].no_progress = false;
+		Simulate(3000);
 	}
-	// All of this took place:
+	// Each of these faults took effect,
 	EXPECT_FALSE(paced.empty());
 	EXPECT_FALSE(stopped.empty());
 	EXPECT_GT(s->counts.stalled, 0u);
 	EXPECT_GT(sched_worker_find(s, "w2")->speed, 1.3);
-	// and yet:
+	// but no serving task was stopped.
 	EXPECT_EQ(StopsOfServing(), 0u);
 }
 
-// A worker is out of reach for less than a lease, then its answers to starts
-// are lost, then it refuses them as unhealthy, again and again.  Its serving
-// task works on all the while and gets no order to stop when the worker answers
-// again.
+// A worker is repeatedly unreachable for less than a lease, then its answers
+// to starts are lost, then it refuses starts as unhealthy.  Its serving task
+// keeps running and gets no order to stop when the worker answers again.
 TEST_F(Lasting, AWorkerOutOfReachForAWhileKeepsItsTask)
 {
 	Fill();
 	for (int round = 0; round < 4; round++) {
 		AddBatch("batch" + std::to_string(round));
-		at["w1"].reachable = false;
-		Play(2000);
-		at["w1"].reachable = true;
-		at["w1"].to_start = ANSWER_LOST;
-		Play(1000);
-		at["w1"].to_start = ANSWER_UNHEALTHY;
-		Play(1000);
-		at["w1"].to_start = ANSWER_OK;
-		Play(1000);
+		sim["w1"].reachable = false;
+		Simulate(2000);
+		sim["w1"].reachable = true;
+		sim["w1"].start_answer = ANSWER_LOST;
+		Simulate(1000);
+		sim["w1"].start_answer = ANSWER_UNHEALTHY;
+		Simulate(1000);
+		sim["w1"].start_answer = ANSWER_OK;
+		Simulate(1000);
 	}
 	EXPECT_FALSE(stopped.empty());
 	EXPECT_GT(s->counts.refused_starts, 0u);
 	EXPECT_EQ(StopsOfServing(), 0u);
 }
 
-// Three workers hold a serving task each and one of them drains.  Its task is
-// moved while it still answers; the others stay where they are.
+// Three workers run a serving task each, and one of them drains.  Its task is
+// moved while the worker still answers; the others stay where they are.
 TEST_F(Lasting, OnlyTheTaskOfTheWorkerThatDrainsIsMoved)
 {
 	Fill();
-	Play(1000);
+	Simulate(1000);
 	ListAsDraining("w1", 16000);
-	Play(5000);
+	Simulate(5000);
 	EXPECT_GE(StopsOfServing(), 1u);
 	EXPECT_EQ(StopsOfServing("w1"), 0u);
 }
--- a/tests/test_sched_model.cc
+++ b/tests/test_sched_model.cc
@@ -2,61 +2,62 @@
 
 #include "sched_world.h"
 
+using sched_world::Defect;
 using sched_world::Faults;
-using sched_world::Lax;
 using sched_world::World;
 
 namespace {
 
 constexpr int kSeeds = 60;
-constexpr int64_t kPlayMs = 90000;
+constexpr int64_t kRunMaxMs = 90000;
 
 void
-SubmitSome(World &world, const Faults &faults = Faults())
+SubmitJobs(World &world, const Faults &faults = Faults())
 {
 	int64_t gap = faults.window_ms * 80 / 5000;
 
 	for (int i = 0; i < 60; i++)
 		world.SubmitAt(1000 + gap * i, "job" + std::to_string(i),
 		    1 + i % 3, 1 + i % 2);
-	for (int i = 0; i < faults.crashers; i++)
+	for (int i = 0; i < faults.crashing_jobs; i++)
 		world.SubmitAt(1500 + 2000 * i,
-		    sched_world::kCrasher + std::to_string(i), 1, 1);
+		    sched_world::kCrasherPrefix + std::to_string(i), 1, 1);
 }
 
-// Play with many seeds; returns what was broken, with the seed.
+// Runs the model with all seeds; returns the violations, with their seeds.
 std::vector<std::string>
-Broken(const Faults &faults, Lax lax, bool all_must_end)
+Violations(const Faults &faults, Defect defect, bool all_must_end)
 {
-	std::vector<std::string> broken;
+	std::vector<std::string> violations;
 
 	for (unsigned seed = 1; seed <= kSeeds; seed++) {
-		World world(seed, faults, lax);
-		SubmitSome(world, faults);
-		world.Play(kPlayMs);
-		for (auto &what : world.broken)
-			broken.push_back(
+		World world(seed, faults, defect);
+		SubmitJobs(world, faults);
+		world.RunUntilEnded(kRunMaxMs);
+		for (auto &what : world.violations)
+			violations.push_back(
 			    "seed " + std::to_string(seed) + ": " + what);
-		// That a lax world is noticed once is enough.
-		if (lax != Lax::None && !broken.empty())
-			return broken;
+		// One detection of an injected defect is enough.
+		if (defect != Defect::None && !violations.empty())
+			return violations;
 		if (all_must_end && !world.AllEnded())
-			broken.push_back("seed " + std::to_string(seed) +
+			violations.push_back("seed " + std::to_string(seed) +
 			    ": a job never ends");
 	}
-	return broken;
+	return violations;
 }
 
 void
-ExpectKept(const Faults &faults)
+ExpectNoViolations(const Faults &faults)
 {
-	auto broken = Broken(faults, Lax::None, true);
+	auto violations = Violations(faults, Defect::None, true);
 
-	EXPECT_TRUE(broken.empty()) << broken.size() << " broken, first "
-				    << (broken.empty() ? "" : broken[0]);
+	EXPECT_TRUE(violations.empty())
+	    << violations.size() << " violations, first "
+	    << (violations.empty() ? "" : violations[0]);
 }
 
-// Twelve leaders in 20 s, on slow clocks, while answers and writes get lost.
+// Twelve leaders in 20 s, on slow clocks, while answers and writes are lost.
 Faults
 LeadersFollowEachOther()
 {
@@ -75,7 +76,7 @@
 
 TEST(SchedModel, JobsEndWithoutFaults)
 {
-	ExpectKept(Faults());
+	ExpectNoViolations(Faults());
 }
 
 TEST(SchedModel, FailingTasksAreTriedToTheLimit)
@@ -83,24 +84,24 @@
 	Faults faults;
 
 	faults.failing = 0.3;
-	ExpectKept(faults);
+	ExpectNoViolations(faults);
 }
 
-// The caller sees its job run on while entries are replaced.  The leader is
-// replaced up to three times while orders of the former one are on their way
-// and its ends are saved but not acknowledged.  The next one asks all workers
-// what runs before it starts anything that may run already.
+// Jobs must keep running for their callers while entries are replaced.  The
+// leader is replaced up to three times while orders of the former one are in
+// flight and ends are saved but not acknowledged.  The next leader asks all
+// workers what runs before it starts anything that may be running already.
 TEST(SchedModel, TakeoversStartNothingTwice)
 {
 	Faults faults;
 
 	faults.takeovers = 3;
 	faults.failing = 0.2;
-	ExpectKept(faults);
+	ExpectNoViolations(faults);
 }
 
-// The former leader goes on for a moment and starts jobs that the next one
-// hasn't read.  The callers of these see them run once.
+// The former leader keeps acting for a moment and starts jobs that the next
+// one hasn't loaded.  They must run only once.
 TEST(SchedModel, FormerLeaderStartsJobsUnknownToTheNext)
 {
 	Faults faults;
@@ -109,38 +110,38 @@
 	faults.takeovers = 3;
 	for (unsigned seed = 1; seed <= kSeeds; seed++) {
 		World world(seed, faults);
-		SubmitSome(world);
-		world.Play(kPlayMs);
-		EXPECT_TRUE(world.broken.empty()) << world.broken[0];
+		SubmitJobs(world);
+		world.RunUntilEnded(kRunMaxMs);
+		EXPECT_TRUE(world.violations.empty()) << world.violations[0];
 		unknown_jobs += world.unknown_jobs;
 	}
 	EXPECT_GT(unknown_jobs, kSeeds / 4);
 }
 
-// Answers of workers are lost: a start may have been carried out or not.  Its
-// room and its task stay taken until a stop of that attempt is answered and
-// the worker's list shows what became of it.
-TEST(SchedModel, LostAnswersAreSettled)
+// Answers of workers are lost, so a start may or may not have been carried
+// out. Its room and its task stay reserved until a stop of that attempt is
+// answered and the worker's list shows the outcome.
+TEST(SchedModel, LostAnswersAreResolved)
 {
 	Faults faults;
 
 	faults.lost = 0.15;
 	faults.failing = 0.1;
-	ExpectKept(faults);
+	ExpectNoViolations(faults);
 }
 
-// Orders are carried out 2 to 12 s late, after newer ones.  A late start
-// refuses itself by its deadline, or since a stop of its attempt was answered.
+// Orders are carried out 2 to 12 s late, after newer ones.  A worker refuses a
+// late start whose deadline has passed, or whose attempt was stopped before.
 TEST(SchedModel, LateOrdersDoNoHarm)
 {
 	Faults faults;
 
 	faults.late = 0.1;
-	ExpectKept(faults);
+	ExpectNoViolations(faults);
 }
 
-// A worker is silent when the leader is replaced, and answers 6 s later.
-// What may run there isn't started elsewhere before its lease has lapsed.
+// A worker is silent when the leader is replaced, and answers 6 s later. What
+// may run there isn't started elsewhere before its lease has expired.
 TEST(SchedModel, SilentWorkerAtTakeover)
 {
 	Faults faults;
@@ -148,11 +149,11 @@
 	faults.takeovers = 2;
 	faults.silent = 1;
 	faults.failing = 0.1;
-	ExpectKept(faults);
+	ExpectNoViolations(faults);
 }
 
-// Writes of progress lose their answers, some done and some not, while the
-// leader is replaced.  An end is acknowledged only once it is surely saved.
+// Writes of progress get no answer, whether they were done or not, while the
+// leader is replaced.  An end is acknowledged only once it is certainly saved.
 TEST(SchedModel, LostWritesLoseNoEnds)
 {
 	Faults faults;
@@ -160,43 +161,45 @@
 	faults.unsaved = 0.3;
 	faults.takeovers = 2;
 	faults.failing = 0.2;
-	ExpectKept(faults);
+	ExpectNoViolations(faults);
 }
 
-// Workers are cut off and run on, some of them only from leaders to come,
-// while the leader is replaced again and again and writes lose their answers.
-// A next leader takes a lease for over no sooner than it is, and so nothing is
-// started while it may run; and no later than it must, so that all jobs end.
+// Workers are unreachable but keep running, some of them only for later
+// leaders, while leaders are replaced one after another and writes get no
+// answer.  A next leader takes no lease for expired before it is, so that
+// nothing is started while it may still run, and none for longer than
+// necessary, so that all jobs end.
 TEST(SchedModel, CutOffWorkersWhileLeadersFollowEachOther)
 {
 	Faults faults = LeadersFollowEachOther();
 
-	faults.cuts = 24;
-	ExpectKept(faults);
+	faults.unreachable = 24;
+	ExpectNoViolations(faults);
 }
 
-// Workers leave one after the other, some before the leader has noticed that
-// they drain, while it is replaced again and again and others are cut off.
+// Workers leave one after another, some before the leader has noticed that
+// they drain, while leaders are replaced repeatedly and other workers are
+// unreachable.
 TEST(SchedModel, WorkersLeaveWhileLeadersFollowEachOther)
 {
 	Faults faults = LeadersFollowEachOther();
 
 	faults.drains = 16;
-	faults.cuts = 6;
-	ExpectKept(faults);
+	faults.unreachable = 6;
+	ExpectNoViolations(faults);
 }
 
-// Workers crash with all that runs there and come back as another life.
+// Workers crash with all that runs there and come back as a new incarnation.
 TEST(SchedModel, CrashedWorkers)
 {
 	Faults faults;
 
 	faults.crashes = 4;
 	faults.takeovers = 1;
-	ExpectKept(faults);
+	ExpectNoViolations(faults);
 }
 
-// Guards against starts on a worker whose room has shrunk.
+// Guards against starts on a worker whose capacity was reduced.
 TEST(SchedModel, RoomsThatShrink)
 {
 	Faults faults;
@@ -205,29 +208,29 @@
 	faults.takeovers = 2;
 	faults.lost = 0.05;
 	faults.late = 0.03;
-	ExpectKept(faults);
+	ExpectNoViolations(faults);
 }
 
-// Guards against tasks that take down all workers, one after the other.
+// Guards against tasks that crash all workers, one after another.
 TEST(SchedModel, TasksThatCrashTheirWorkers)
 {
 	Faults faults;
 
-	faults.crashers = 2;
-	ExpectKept(faults);
+	faults.crashing_jobs = 2;
+	ExpectNoViolations(faults);
 }
 
-// The same while workers crash by themselves, or are cut off.
-TEST(SchedModel, TasksThatCrashTheirWorkersOnABadDay)
+// As above, while workers also crash by themselves or are unreachable.
+TEST(SchedModel, TasksThatCrashTheirWorkersAmongOtherFaults)
 {
 	Faults faults;
 
-	faults.crashers = 2;
+	faults.crashing_jobs = 2;
 	faults.crashes = 3;
-	faults.cuts = 2;
+	faults.unreachable = 2;
 	faults.takeovers = 1;
 	faults.window_ms = 20000;
-	ExpectKept(faults);
+	ExpectNoViolations(faults);
 }
 
 TEST(SchedModel, AllAtOnce)
@@ -242,10 +245,10 @@
 	faults.takeovers = 3;
 	faults.crashes = 2;
 	faults.cancels = 2;
-	ExpectKept(faults);
+	ExpectNoViolations(faults);
 }
 
-// The checks notice a world in which a safeguard is missing.
+// The checks must detect a model in which a safeguard is missing.
 
 TEST(SchedModel, NoticesWorkersWithoutFence)
 {
@@ -253,7 +256,7 @@
 
 	faults.takeovers = 3;
 	faults.late = 0.2;
-	EXPECT_FALSE(Broken(faults, Lax::NoFence, false).empty());
+	EXPECT_FALSE(Violations(faults, Defect::NoFence, false).empty());
 }
 
 TEST(SchedModel, NoticesStartsThatOutliveTheirDeadline)
@@ -264,7 +267,7 @@
 	faults.lost = 0.3;
 	faults.takeovers = 3;
 	faults.crashes = 0;
-	EXPECT_FALSE(Broken(faults, Lax::NoLateGuard, false).empty());
+	EXPECT_FALSE(Violations(faults, Defect::NoLateGuard, false).empty());
 }
 
 TEST(SchedModel, NoticesForgottenProgress)
@@ -272,7 +275,7 @@
 	Faults faults;
 
 	faults.takeovers = 3;
-	EXPECT_FALSE(Broken(faults, Lax::ForgetProgress, false).empty());
+	EXPECT_FALSE(Violations(faults, Defect::ForgetProgress, false).empty());
 }
 
 TEST(SchedModel, NoticesEarlyAcknowledgements)
@@ -281,16 +284,16 @@
 
 	faults.takeovers = 3;
 	faults.unsaved = 0.5;
-	EXPECT_FALSE(Broken(faults, Lax::AckUnsaved, false).empty());
+	EXPECT_FALSE(Violations(faults, Defect::AckUnsaved, false).empty());
 }
 
-// A leader that renews a lease which the record still leaves to expire.
+// A leader renews a lease that the record still declares as expiring.
 TEST(SchedModel, NoticesRenewalsBeforeTheRecord)
 {
 	Faults faults;
 
 	faults.takeovers = 12;
-	faults.cuts = 24;
+	faults.unreachable = 24;
 	faults.window_ms = 20000;
-	EXPECT_FALSE(Broken(faults, Lax::EarlyRecord, false).empty());
+	EXPECT_FALSE(Violations(faults, Defect::EarlyRecord, false).empty());
 }
--- a/tests/test_sched_share.cc
+++ b/tests/test_sched_share.cc
@@ -14,7 +14,8 @@
 
 constexpr int64_t kTargetMs = 50;
 constexpr double kShortestMs = 10;
-// What fillers do to serving tasks' load, by the share that they use.
+// Relative rise of serving tasks' load per share of the worker that fillers
+// use.
 constexpr double kBadEffect = 4, kGoodEffect = 0.2;
 
 struct Key {
@@ -34,22 +35,23 @@
 	std::string worker, image;
 	bool filler;
 	int64_t cpu;
-	double work_ms; // left
+	double work_ms; // remaining
 	int pace = 100;
 	struct task_name task;
 	double phase = 0;
-	int64_t late_ms = 0; // on end
+	int64_t late_ms = 0; // time over the target without a break
 	double tail = 0;
 };
 
-// Workers with serving tasks whose load swings, and fillers beside them.
-// Lists come with the looks; what a scheduler's user sees is counted.
+// Workers with serving tasks of varying load and fillers beside them.  Workers
+// answer polls with lists; the test counts what the users of the scheduler
+// see.
 class Shared : public ::testing::Test {
       protected:
 	void
 	SetUp() override
 	{
-		actions = { OnStart, OnStop, OnPace, OnLook, OnRecord,
+		actions = { OnStart, OnStop, OnPace, OnPoll, OnRecord,
 			[](struct sched *, const char *, void *) {},
 			[](struct sched *, struct sched_worker *, size_t,
 			    void *) {},
@@ -116,9 +118,9 @@
 	{
 		return 0.45 * (1 + 0.5 * sin(now / 2200.0 + r.phase));
 	}
-	// Work, and disturb, for a span of 50 ms.
+	// Advances all runs by 50 ms, with the interference of the fillers.
 	void
-	Work()
+	AdvanceRuns()
 	{
 		std::map<std::string, double> filler_load;
 
@@ -145,7 +147,7 @@
 		}
 	}
 	void
-	Look(const std::string &id)
+	AnswerPoll(const std::string &id)
 	{
 		struct sched_worker *w = sched_worker_find(s, id.c_str());
 		std::vector<poll_running> rows;
@@ -178,10 +180,10 @@
 		sched_poll_answered(s, w, ANSWER_OK, &result, now);
 	}
 	void
-	Run(int64_t for_ms)
+	Simulate(int64_t for_ms)
 	{
 		for (int64_t end = now + for_ms; now < end;) {
-			Work();
+			AdvanceRuns();
 			sched_act(s, now);
 			std::vector<std::pair<Key, struct sched_worker *>> a;
 			a.swap(answers);
@@ -191,12 +193,12 @@
 				    s, w, &t, key.attempt, ANSWER_OK, now, now);
 			}
 			std::vector<std::pair<std::string, int64_t>> due;
-			due.swap(looks);
+			due.swap(polls);
 			for (auto &[id, at] : due) {
 				if (at <= now)
-					Look(id);
+					AnswerPoll(id);
 				else
-					looks.push_back({ id, at });
+					polls.push_back({ id, at });
 			}
 			struct sched_job *job;
 			while ((job = sched_next_dirty(s)) != nullptr)
@@ -226,7 +228,7 @@
 		self->running[key] = r;
 		self->answers.push_back({ key, run->worker });
 		if (run->worker->late_since_ms != 0 && spec->filler)
-			self->beside_late++;
+			self->starts_beside_late++;
 	}
 	static void
 	OnStop(struct sched *, struct sched_worker *w,
@@ -253,12 +255,12 @@
 		    ANSWER_OK, self->now);
 	}
 	static void
-	OnLook(struct sched *, struct sched_worker *w, int64_t, int64_t wait_ms,
+	OnPoll(struct sched *, struct sched_worker *w, int64_t, int64_t wait_ms,
 	    void *ctx)
 	{
 		Shared *self = Self(ctx);
 
-		self->looks.push_back({ w->id, self->now + wait_ms });
+		self->polls.push_back({ w->id, self->now + wait_ms });
 	}
 	static void
 	OnRecord(struct sched *, struct sched_worker *w, void *)
@@ -272,74 +274,79 @@
 	int64_t now = 10000;
 	std::map<Key, Running> running;
 	std::vector<std::pair<Key, struct sched_worker *>> answers;
-	std::vector<std::pair<std::string, int64_t>> looks;
+	std::vector<std::pair<std::string, int64_t>> polls;
 	std::map<std::string, uint64_t> number;
 	int64_t served_ms = 0, late_ms = 0, longest_late = 0;
-	int done = 0, stops = 0, beside_late = 0;
+	int done = 0, stops = 0, starts_beside_late = 0;
 };
 
 } // namespace
 
 // More fillers than fit, half of them of an image that makes serving tasks
-// miss their target.  No serving task may be late for 4 s on end, few may be
-// late at all, and the batch work must go on.
+// miss their target.  No serving task may be late for 4 s without a break, few
+// may be late at all, and the fillers must make progress.
 TEST_F(Shared, FillersFlowBesideServingTasks)
 {
 	AddWorkers(12);
 	Add("serving", "web", 36, 6000, false);
-	Run(3000);
+	Simulate(3000);
 	for (int i = 0; i < 10; i++) {
 		Add("bad" + std::to_string(i), "bad", 20, 4000, true);
 		Add("good" + std::to_string(i), "good", 20, 4000, true);
 	}
 	served_ms = late_ms = 0;
-	Run(30000);
+	Simulate(30000);
 	EXPECT_LT(longest_late, options.harm_ms);
 	EXPECT_LT((double)late_ms / (double)served_ms, 0.12);
 	EXPECT_GT(done, 300);
-	EXPECT_EQ(beside_late, 0);
+	EXPECT_EQ(starts_beside_late, 0);
 }
 
-// The load of the fillers' neighbours alone decides: harmless ones run at
-// full pace all the time.
+// Only the effect on the serving tasks beside them counts: harmless fillers
+// run at full pace all the time.
 TEST_F(Shared, HarmlessFillersArentHeldBack)
 {
 	AddWorkers(4);
 	Add("serving", "web", 8, 6000, false);
-	Run(3000);
+	Simulate(3000);
 	for (int i = 0; i < 8; i++)
 		Add("good" + std::to_string(i), "good", 10, 4000, true);
-	Run(12000);
+	Simulate(12000);
 	EXPECT_EQ(longest_late, 0);
 	EXPECT_EQ(done, 80);
 }
 
-// Fillers are placed until they are short of processors, not until declared
-// sizes are: what serving tasks leave of their claims is learnt.
+// Fillers are placed until processors are short, not until declared sizes are
+// used up: the scheduler learns how much of their claims serving tasks leave
+// unused.
 TEST_F(Shared, WhatServingTasksLeaveIsUsed)
 {
 	AddWorkers(2);
 	Add("serving", "web", 8, 7500, false);
-	Run(3000);
+	Simulate(3000);
 	for (int i = 0; i < 40; i++)
 		Add("good" + std::to_string(i), "good", 10, 2000, true);
-	Run(30000);
+	Simulate(30000);
 	EXPECT_LT(s->serving_use, 0.58);
 	EXPECT_GT(done, 100);
 }
 
-// Every worker is pressed, and each filler stands wherever it goes.  It is
-// tried elsewhere soon, but not again and again: each move throws work away.
+// All workers suffer from interference, so each filler is stopped at pace 0
+// wherever it goes.  It is moved soon, but not repeatedly: each move discards
+// work.
 TEST_F(Shared, FillersArentMovedAgainAndAgain)
 {
 	AddWorkers(6);
 	Add("serving", "web", 30, 6000, false);
-	Run(3000);
+	Simulate(3000);
 	for (int i = 0; i < 6; i++)
 		Add("bad" + std::to_string(i), "bad", 20, 4000, true);
-	Run(30000);
+	Simulate(30000);
 	EXPECT_GT(stops, 0);
-	EXPECT_GT(done, 13); // 13, then 15
-	EXPECT_LT(stops, 68); // 78 when each move waits as long, then 57
+	// Completed: 13 with a constant wait between moves, 15 with a growing
+	// one.
+	EXPECT_GT(done, 13);
+	// Moves: 78 with a constant wait between moves, 57 with a growing one.
+	EXPECT_LT(stops, 68);
 	EXPECT_LT(longest_late, options.harm_ms);
 }
--- a/tests/test_sweep.cc
+++ b/tests/test_sweep.cc
@@ -6,12 +6,13 @@
 
 namespace {
 
-constexpr int64_t kMargin = 60000; // as the sweep's
-constexpr int64_t kPause = 2900; // between its reads, and a little less
-constexpr int64_t kSweep = 10000; // a page or two are looked at in it
+constexpr int64_t kMarginMs = 60000; // the sweep's margin beyond the keep time
+// Slightly less than the time between its reads.
+constexpr int64_t kPauseMs = 2900;
+constexpr int64_t kSweepMs = 10000; // time for the sweep to read a page or two
 constexpr size_t kBatch = 30;
 
-// Records of jobs that ended under leaders that are gone.
+// Records of jobs that ended under former leaders.
 class Sweep : public Handover {
       protected:
 	void
@@ -24,28 +25,29 @@
 		};
 	}
 
-	// Each write that only removes.
+	// Called for each write that only removes keys.
 	enum kv_error
 	Removal(const std::vector<std::string> &keys)
 	{
 		EXPECT_LE(keys.size(), kBatch);
 		removals_ms.push_back(clock_now_ms());
-		return fails > 0 && fails-- > 0 ? failure : KV_OK;
+		return failures_left > 0 && failures_left-- > 0 ? failure :
+								  KV_OK;
 	}
 
 	void
-	Ended(const std::string &job, int64_t age_ms)
+	PutEnded(const std::string &job, int64_t age_ms)
 	{
 		Put("lp/e/" + job,
 		    "{\"state\":\"completed\",\"ended_ms\":" +
 			std::to_string(clock_wall_ms() - age_ms) + "}");
 	}
 
-	// How old a record surely may go.
+	// Age from which a record may certainly be removed.
 	int64_t
-	Old() const
+	OldAgeMs() const
 	{
-		return keep_ms + kMargin;
+		return keep_ms + kMarginMs;
 	}
 
 	bool
@@ -64,13 +66,14 @@
 		return n;
 	}
 
-	// Old ones and young ones, in turns.
+	// Adds old and young records alternately.
 	void
-	Many(int count)
+	PutMany(int count)
 	{
 		for (int i = 0; i < count; i++) {
-			Ended("a" + std::to_string(1000 + i) + "old", Old());
-			Ended("a" + std::to_string(1000 + i) + "young", 0);
+			PutEnded(
+			    "a" + std::to_string(1000 + i) + "old", OldAgeMs());
+			PutEnded("a" + std::to_string(1000 + i) + "young", 0);
 		}
 	}
 
@@ -91,7 +94,7 @@
 		    counter_get("lagoonpin_records_swept", ""));
 	}
 
-	// A job that a leader saw end.
+	// Adds a job and cancels it, so that the leader sees its end.
 	void
 	EndOne()
 	{
@@ -108,7 +111,7 @@
 	}
 
 	int64_t
-	ToldEnd(const std::string &job)
+	RecordedEnd(const std::string &job)
 	{
 		std::string text = items["lp/e/" + job].value;
 		size_t at = text.find("\"ended_ms\":");
@@ -119,22 +122,22 @@
 	}
 
 	std::vector<int64_t> removals_ms;
-	int fails = 0;
+	int failures_left = 0;
 	enum kv_error failure = KV_UNAVAILABLE;
 };
 
 } // namespace
 
-// The store fills up over weeks: records of jobs that ended under an earlier
-// leader stay for ever.
+// The store fills up over weeks unless the records of jobs that ended under an
+// earlier leader are removed.
 TEST_F(Sweep, AnEarlierLeadersRecordGoesAfterTheKeepTime)
 {
-	Ended("old", Old());
-	Ended("nearly", Old() - 10000);
-	Ended("kept", keep_ms - 10000);
-	Ended("young", 0);
+	PutEnded("old", OldAgeMs());
+	PutEnded("nearly", OldAgeMs() - 10000);
+	PutEnded("kept", keep_ms - 10000);
+	PutEnded("young", 0);
 	Open();
-	Pass(kSweep);
+	Pass(kSweepMs);
 	EXPECT_FALSE(Has("old"));
 	EXPECT_TRUE(Has("nearly"));
 	EXPECT_TRUE(Has("kept"));
@@ -142,26 +145,26 @@
 	EXPECT_EQ(Swept(), 1u);
 }
 
-// How long ago a job ended must be known to leaders that didn't see it.
+// Leaders that didn't see a job end must know how long ago it ended.
 TEST_F(Sweep, ARecordTellsWhenItsJobEnded)
 {
 	int64_t before_ms = clock_wall_ms();
 
 	Open();
 	EndOne();
-	EXPECT_GE(ToldEnd("job"), before_ms);
-	EXPECT_LE(ToldEnd("job"), clock_wall_ms());
+	EXPECT_GE(RecordedEnd("job"), before_ms);
+	EXPECT_LE(RecordedEnd("job"), clock_wall_ms());
 }
 
-// A repeat of the hand-in finds the record of the job, also while a next
-// leader sweeps, and the job isn't done again.
+// A repeated submission finds the record of the job, also while a next leader
+// sweeps, and the job doesn't run again.
 TEST_F(Sweep, ARepeatWithinTheKeepTimeFindsTheRecord)
 {
 	Open();
 	EndOne();
 	Restart();
-	Ended("old", Old());
-	Pass(kSweep);
+	PutEnded("old", OldAgeMs());
+	Pass(kSweepMs);
 	EXPECT_FALSE(Has("old"));
 	Submit("job", 1);
 	Pass(1000);
@@ -171,63 +174,63 @@
 	EXPECT_EQ(Running(), 0u);
 }
 
-// What this leader saw end is left to its own forgetting, whatever the wall
-// clock says meanwhile.
+// Records of jobs that this leader saw end are removed only by its own expiry,
+// whatever the wall clock says meanwhile.
 TEST_F(Sweep, WhatTheLeaderKnowsStays)
 {
 	Open();
 	EndOne();
-	Ended("job", Old());
-	Ended("old", Old());
-	turn_ms = 1;
-	Pass(kSweep + 30000);
+	PutEnded("job", OldAgeMs());
+	PutEnded("old", OldAgeMs());
+	loop_turn_ms = 1;
+	Pass(kSweepMs + 30000);
 	EXPECT_FALSE(Has("old"));
 	EXPECT_TRUE(Has("job"));
 }
 
-// The same once its keep time is over, until its own removal is written: a
-// second one that is done late could take a newer record away.
+// As above after the keep time, until the leader's own removal is written: a
+// second removal that is done late could delete a newer record.
 TEST_F(Sweep, WhatTheLeaderIsForgettingStays)
 {
 	keep_ms = 2000;
 	Open();
 	EndOne();
 	Pass(keep_ms);
-	Ended("job", Old());
-	Ended("old", Old());
-	turn_ms = 1;
-	Pass(kSweep + 30000);
+	PutEnded("job", OldAgeMs());
+	PutEnded("old", OldAgeMs());
+	loop_turn_ms = 1;
+	Pass(kSweepMs + 30000);
 	EXPECT_FALSE(Has("old"));
 	EXPECT_TRUE(Has("job"));
 }
 
-// Records of an earlier version name no time, and clocks may have been wrong:
-// each is kept a full keep time under this leader, and goes then.
+// Records of an earlier version have no time, and clocks may have been wrong:
+// each is kept for a full keep time under this leader and removed then.
 TEST_F(Sweep, OneWithoutATimeStaysAFullKeepTime)
 {
-	turn_ms = 1;
+	loop_turn_ms = 1;
 	keep_ms = 5000;
 	Put("lp/e/untold", "{\"state\":\"completed\"}");
 	Put("lp/e/damaged", "{\"sta");
 	Put("lp/e/text", "{\"state\":\"failed\",\"ended_ms\":\"1\"}");
 	Put("lp/e/below", "{\"state\":\"failed\",\"ended_ms\":-5}");
-	Ended("ahead", -1000 * Old());
+	PutEnded("ahead", -1000 * OldAgeMs());
 	Open();
-	Pass(Old() - kStep);
+	Pass(OldAgeMs() - kStepMs);
 	EXPECT_EQ(Count("lp/e/"), 5u);
-	Pass(30000 + kSweep);
+	Pass(30000 + kSweepMs);
 	EXPECT_EQ(Count("lp/e/"), 0u);
 	EXPECT_EQ(Swept(), 5u);
 }
 
-// Many records: page after page, and no more at once than a write holds.
+// Many records are removed page by page, no more at once than fit a write.
 TEST_F(Sweep, ManyRecordsGoPageAfterPage)
 {
 	int before;
 
-	turn_ms = 1;
+	loop_turn_ms = 1;
 	page = 25;
-	Many(100);
+	PutMany(100);
 	Open();
 	Pass(5000);
 	before = reads["lp/e/"];
@@ -237,31 +240,33 @@
 	EXPECT_EQ(Count("lp/e/"), 100u);
 	EXPECT_EQ(Swept(), 100u);
 	for (size_t i = 1; i < removals_ms.size(); i++)
-		EXPECT_GE(removals_ms[i] - removals_ms[i - 1], kPause);
+		EXPECT_GE(removals_ms[i] - removals_ms[i - 1], kPauseMs);
 }
 
-// A page that has more old records than a write holds is read on from there.
+// A page with more old records than fit a write is continued after the last
+// one removed.
 TEST_F(Sweep, APageOfMoreThanAWriteHolds)
 {
-	turn_ms = 1;
-	Many(100);
+	loop_turn_ms = 1;
+	PutMany(100);
 	Open();
 	Pass(5000 + 4 * 3200);
 	EXPECT_EQ(CountOld(), 0u);
 	EXPECT_EQ(Count("lp/e/"), 100u);
 	EXPECT_EQ(removals_ms.size(), 4u);
 	for (size_t i = 1; i < removals_ms.size(); i++)
-		EXPECT_GE(removals_ms[i] - removals_ms[i - 1], kPause);
+		EXPECT_GE(removals_ms[i] - removals_ms[i - 1], kPauseMs);
 }
 
-// The store turns writes away: the same records are tried again, no others.
+// The store refuses writes: the removal of the same records is retried, and no
+// others are removed.
 TEST_F(Sweep, AStoreThatRefusesLosesNothing)
 {
-	fails = 2;
+	failures_left = 2;
 	failure = KV_UNAVAILABLE;
-	turn_ms = 1;
+	loop_turn_ms = 1;
 	page = 25;
-	Many(20);
+	PutMany(20);
 	Open();
 	Pass(5000);
 	ASSERT_GE(removals_ms.size(), 1u);
@@ -273,15 +278,15 @@
 	EXPECT_EQ(Swept(), 20u);
 }
 
-// Answers are lost, though the writes are done: the page is read again, and
-// what is gone isn't counted.
+// Writes are done but get no answer: the page is read again, and records that
+// are gone already aren't counted.
 TEST_F(Sweep, LostAnswersRemoveNothingElse)
 {
-	fails = 1;
+	failures_left = 1;
 	failure = KV_UNKNOWN;
-	turn_ms = 1;
+	loop_turn_ms = 1;
 	page = 25;
-	Many(20);
+	PutMany(20);
 	Open();
 	Pass(5000 + 4 * 3200);
 	EXPECT_EQ(CountOld(), 0u);
@@ -289,13 +294,13 @@
 	EXPECT_EQ(Swept(), 20u - 13u);
 }
 
-// While the store is away it isn't asked either.
-TEST_F(Sweep, NothingIsReadWhileTheStoreIsAway)
+// The store isn't read while it is unavailable.
+TEST_F(Sweep, NothingIsReadWhileTheStoreIsUnavailable)
 {
 	int before;
 
-	turn_ms = 1;
-	Ended("old", Old());
+	loop_turn_ms = 1;
+	PutEnded("old", OldAgeMs());
 	Open();
 	Pass(1500);
 	store_down = true;
@@ -305,16 +310,16 @@
 	EXPECT_EQ(reads["lp/e/"], before);
 	EXPECT_TRUE(Has("old"));
 	store_down = false;
-	Pass(kSweep);
+	Pass(kSweepMs);
 	EXPECT_FALSE(Has("old"));
 }
 
-// Another entry takes over while the removal is on its way: nothing is done.
+// Another entry takes over while the removal is in flight: nothing is removed.
 TEST_F(Sweep, NothingGoesWhileAnotherEntryLeads)
 {
 	int tries = 0;
 
-	Ended("old", Old());
+	PutEnded("old", OldAgeMs());
 	before_removal = [&](const std::vector<std::string> &) {
 		if (tries++ == 0)
 			Put("lp/leader", items["lp/leader"].value);
