--- a/lib/base64.c
+++ b/lib/base64.c
@@ -6,7 +6,7 @@
 
 #include "base64.h"
 
-/* EVP takes and gives lengths as int. */
+/* EVP uses int for lengths. */
 #define TEXT_MAX ((size_t)INT_MAX / 2)
 
 char *
@@ -41,7 +41,10 @@
 		return NULL;
 	n = EVP_DecodeBlock(
 	    (unsigned char *)data, (const unsigned char *)text, (int)text_len);
-	/* EVP counts the padding as bytes, and trims blanks by itself. */
+	/*
+	 * EVP counts padding as decoded bytes, and strips white space, which
+	 * makes the length differ.
+	 */
 	if (n < 0 || (size_t)n != text_len / 4 * 3) {
 		free(data);
 		return NULL;
--- a/lib/base64.h
+++ b/lib/base64.h
@@ -4,16 +4,19 @@
 #include <stddef.h>
 
 /*
- * Standard base64 with padding, as the store's JSON gateway has it for keys
- * and values; over OpenSSL's EVP.
+ * Standard base64 with padding, as the store's JSON gateway encodes keys and
+ * values; implemented with OpenSSL's EVP.
  */
 
-/* NUL-terminated, freed by the caller.  NULL: no memory or too long. */
+/*
+ * Returns a NUL-terminated string, freed by the caller.  NULL: out of memory or
+ * input too long.
+ */
 char *base64_encode(const void *data, size_t len);
 
 /*
- * Freed by the caller; a NUL follows the *len bytes.  NULL: not base64, or no
- * memory.
+ * Returns *len bytes and a terminating NUL, freed by the caller.  NULL: not
+ * base64, or out of memory.
  */
 char *base64_decode(const char *text, size_t text_len, size_t *len);
 
--- a/lib/commit.c
+++ b/lib/commit.c
@@ -11,28 +11,28 @@
 #define MAX_QUEUED 10000
 
 static int compare_keys(const struct commit_key *, const struct commit_key *);
-static struct commit_key *find(const struct commit *, const char *);
-static struct commit_key *find_or_add(struct commit *, const char *);
+static struct commit_key *find_key(const struct commit *, const char *);
+static struct commit_key *find_or_add_key(struct commit *, const char *);
 static bool send_puts(struct commit *);
 static bool send_read_back(struct commit *);
-static void hand_over(struct commit *, const struct store_txn_request *);
+static void send_txn(struct commit *, const struct store_txn_request *);
 static void answer_puts(
     struct commit *, const struct store_txn_result *, int64_t);
 static void answer_read_back(
     struct commit *, const struct store_txn_result *, int64_t);
-static const struct store_kv *kv_of(const struct store_op_result *);
+static const struct store_kv *first_kv(const struct store_op_result *);
 static void fail_put(
     struct commit *, struct commit_key *, enum store_error, bool, int64_t);
-static void doubt(struct commit *, struct commit_key *, int64_t);
-static void wait_longer(struct commit *);
-static void judge(
+static void mark_unresolved(struct commit *, struct commit_key *, int64_t);
+static void increase_read_back_wait(struct commit *);
+static void resolve_put(
     struct commit *, struct commit_key *, const struct store_kv *);
-static void written(struct commit *, struct commit_key *, int64_t);
-static void move(struct commit_key *, struct commit_key_list *);
-static void end(
+static void finish_written(struct commit *, struct commit_key *, int64_t);
+static void move_key(struct commit_key *, struct commit_key_list *);
+static void finish_put(
     struct commit *, struct commit_key *, const struct commit_result *);
 static bool is_refusal(enum store_error);
-static void free_if_over(struct commit *);
+static void free_if_closed(struct commit *);
 
 static const char *const outcome_labels[] = { "outcome=\"written\"",
 	"outcome=\"conflict\"", "outcome=\"not_written\"",
@@ -93,21 +93,21 @@
 		result.error = STORE_ERR_CANCELLED;
 		if (STAILQ_FIRST(&key->items)->outcome_unknown)
 			result.outcome = COMMIT_UNKNOWN;
-		end(c, key, &result);
+		finish_put(c, key, &result);
 	}
 	c->busy--;
-	free_if_over(c);
+	free_if_closed(c);
 }
 
 static void
-free_if_over(struct commit *c)
+free_if_closed(struct commit *c)
 {
 	if (c->closing && c->busy == 0 && c->in_flight == IN_FLIGHT_NONE)
 		free(c);
 }
 
 static struct commit_key *
-find(const struct commit *c, const char *name)
+find_key(const struct commit *c, const char *name)
 {
 	struct commit_key probe;
 
@@ -116,11 +116,11 @@
 }
 
 static struct commit_key *
-find_or_add(struct commit *c, const char *name)
+find_or_add_key(struct commit *c, const char *name)
 {
 	struct commit_key *key;
 
-	if ((key = find(c, name)) != NULL)
+	if ((key = find_key(c, name)) != NULL)
 		return key;
 	if ((key = calloc(1, sizeof(*key))) == NULL)
 		return NULL;
@@ -149,7 +149,7 @@
 		return STORE_ERR_BUDGET;
 	if ((item = commit_item_new(put)) == NULL)
 		return STORE_ERR_MEMORY;
-	if ((key = find_or_add(c, put->key)) == NULL) {
+	if ((key = find_or_add_key(c, put->key)) == NULL) {
 		commit_item_free(item);
 		return STORE_ERR_MEMORY;
 	}
@@ -163,7 +163,7 @@
 bool
 commit_is_pending(const struct commit *c, const char *name)
 {
-	return find(c, name) != NULL;
+	return find_key(c, name) != NULL;
 }
 
 size_t
@@ -184,7 +184,7 @@
 		due_ms = c->read_back_due_ms;
 	if (!TAILQ_EMPTY(&c->ready) && c->next_send_ms < due_ms)
 		due_ms = c->next_send_ms;
-	/* The pace holds for reading back too. */
+	/* The minimum interval applies to reading back too. */
 	return due_ms < c->next_send_ms ? c->next_send_ms : due_ms;
 }
 
@@ -205,7 +205,7 @@
 	if (sent)
 		counter_inc("lagoonpin_commit_transactions", "");
 	c->busy--;
-	free_if_over(c);
+	free_if_closed(c);
 }
 
 static bool
@@ -222,7 +222,7 @@
 		next = TAILQ_NEXT(key, link);
 		if (!commit_batch_put(&batch, key))
 			continue;
-		move(key, &c->sent);
+		move_key(key, &c->sent);
 		if (batch.nsuccess == batch.max_ops ||
 		    STAILQ_FIRST(&key->items)->exclusive)
 			break;
@@ -235,7 +235,7 @@
 	txn.failure = batch.failure;
 	txn.nfailure = batch.nkeys;
 	c->in_flight = IN_FLIGHT_PUTS;
-	hand_over(c, &txn);
+	send_txn(c, &txn);
 	commit_batch_close(&batch);
 	return true;
 }
@@ -253,19 +253,19 @@
 	while ((key = TAILQ_FIRST(&c->unresolved)) != NULL) {
 		if (!commit_batch_get(&batch, key))
 			break;
-		move(key, &c->sent);
+		move_key(key, &c->sent);
 	}
 	memset(&txn, 0, sizeof(txn));
 	txn.success = batch.success;
 	txn.nsuccess = batch.nsuccess;
 	c->in_flight = IN_FLIGHT_READ_BACK;
-	hand_over(c, &txn);
+	send_txn(c, &txn);
 	commit_batch_close(&batch);
 	return true;
 }
 
 static void
-hand_over(struct commit *c, const struct store_txn_request *txn)
+send_txn(struct commit *c, const struct store_txn_request *txn)
 {
 	struct store_txn_result result;
 
@@ -293,7 +293,7 @@
 		answer_puts(c, result, now_ms);
 	c->in_flight = IN_FLIGHT_NONE;
 	c->busy--;
-	free_if_over(c);
+	free_if_closed(c);
 }
 
 static void
@@ -308,16 +308,16 @@
 	TAILQ_FOREACH (key, &c->sent, link)
 		n++;
 	shared = n > 1;
-	/* A callback may close it all, which empties the list. */
+	/* A callback may call commit_close(), which empties the list. */
 	for (i = 0; (key = TAILQ_FIRST(&c->sent)) != NULL; i++) {
 		if (result->error != STORE_OK)
 			fail_put(c, key, result->error, shared, now_ms);
 		else if (result->succeeded)
-			written(c, key, result->revision);
+			finish_written(c, key, result->revision);
 		else if (result->nops == n)
-			judge(c, key, kv_of(&result->ops[i]));
+			resolve_put(c, key, first_kv(&result->ops[i]));
 		else
-			doubt(c, key, now_ms);
+			mark_unresolved(c, key, now_ms);
 	}
 }
 
@@ -332,24 +332,24 @@
 	TAILQ_FOREACH (key, &c->sent, link)
 		n++;
 	if (result->error != STORE_OK || result->nops != n) {
-		wait_longer(c);
+		increase_read_back_wait(c);
 		c->read_back_due_ms = now_ms + c->read_back_wait_ms;
 		while ((key = TAILQ_FIRST(&c->sent)) != NULL)
-			move(key, &c->unresolved);
+			move_key(key, &c->unresolved);
 		return;
 	}
 	c->read_back_due_ms = now_ms;
 	for (i = 0; (key = TAILQ_FIRST(&c->sent)) != NULL; i++)
-		judge(c, key, kv_of(&result->ops[i]));
+		resolve_put(c, key, first_kv(&result->ops[i]));
 }
 
 static const struct store_kv *
-kv_of(const struct store_op_result *op)
+first_kv(const struct store_op_result *op)
 {
 	return op->nkvs > 0 ? &op->kvs[0] : NULL;
 }
 
-/* A whole transaction failed; what becomes of one of its puts. */
+/* Handles one put of a transaction that failed as a whole. */
 static void
 fail_put(struct commit *c, struct commit_key *key, enum store_error error,
     bool shared, int64_t now_ms)
@@ -359,55 +359,58 @@
 
 	item = STAILQ_FIRST(&key->items);
 	if (error == STORE_ERR_UNKNOWN) {
-		doubt(c, key, now_ms);
+		mark_unresolved(c, key, now_ms);
 		return;
 	}
 	if (is_refusal(error) && shared) {
 		item->exclusive = true;
-		move(key, &c->ready);
+		move_key(key, &c->ready);
 		return;
 	}
 	if (item->outcome_unknown) {
-		/* Sure of this sending only, not of the one before. */
+		/* The retry wasn't applied; the first transaction may be. */
 		if (is_refusal(error))
 			item->refusal = error;
-		doubt(c, key, now_ms);
+		mark_unresolved(c, key, now_ms);
 		return;
 	}
 	memset(&result, 0, sizeof(result));
 	result.outcome = COMMIT_NOT_WRITTEN;
 	result.error = error;
-	end(c, key, &result);
+	finish_put(c, key, &result);
 }
 
 static void
-doubt(struct commit *c, struct commit_key *key, int64_t now_ms)
+mark_unresolved(struct commit *c, struct commit_key *key, int64_t now_ms)
 {
 	struct commit_item *item;
 
 	item = STAILQ_FIRST(&key->items);
 	if (TAILQ_EMPTY(&c->unresolved)) {
 		if (item->outcome_unknown)
-			wait_longer(c);
+			increase_read_back_wait(c);
 		else
 			c->read_back_wait_ms = c->options.read_back_ms;
 		c->read_back_due_ms = now_ms + c->read_back_wait_ms;
 	}
 	item->outcome_unknown = true;
-	move(key, &c->unresolved);
+	move_key(key, &c->unresolved);
 }
 
 static void
-wait_longer(struct commit *c)
+increase_read_back_wait(struct commit *c)
 {
 	c->read_back_wait_ms *= 2;
 	if (c->read_back_wait_ms > c->options.read_back_max_ms)
 		c->read_back_wait_ms = c->options.read_back_max_ms;
 }
 
-/* The key isn't as the put wants it, or it is read back: what it holds now. */
+/*
+ * Determines the outcome of a put from the current value of its key, after a
+ * failed comparison or a read back.
+ */
 static void
-judge(struct commit *c, struct commit_key *key, const struct store_kv *kv)
+resolve_put(struct commit *c, struct commit_key *key, const struct store_kv *kv)
 {
 	struct commit_result result;
 	const struct commit_item *item;
@@ -415,14 +418,14 @@
 	item = STAILQ_FIRST(&key->items);
 	if ((kv != NULL ? kv->mod_revision : 0) == item->expected &&
 	    item->refusal == STORE_OK) {
-		move(key, &c->ready);
+		move_key(key, &c->ready);
 		return;
 	}
 	memset(&result, 0, sizeof(result));
 	if (kv != NULL && item->outcome_unknown &&
 	    kv->mod_revision != item->expected && kv->len == item->len &&
 	    memcmp(kv->value, item->value, item->len) == 0) {
-		written(c, key, kv->mod_revision);
+		finish_written(c, key, kv->mod_revision);
 		return;
 	}
 	result.outcome = COMMIT_CONFLICT;
@@ -430,29 +433,29 @@
 	result.may_have_been_applied = item->outcome_unknown;
 	if ((kv != NULL ? kv->mod_revision : 0) == item->expected) {
 		/*
-		 * The first sending may still arrive, when what the second
-		 * one was refused for holds no more.
+		 * The store may still apply the first transaction, if the
+		 * reason for refusing the retry no longer holds.
 		 */
 		result.outcome = COMMIT_UNKNOWN;
 		result.error = item->refusal;
 	}
-	end(c, key, &result);
+	finish_put(c, key, &result);
 }
 
 static void
-written(struct commit *c, struct commit_key *key, int64_t revision)
+finish_written(struct commit *c, struct commit_key *key, int64_t revision)
 {
 	struct commit_result result;
 
 	memset(&result, 0, sizeof(result));
 	result.outcome = COMMIT_WRITTEN;
 	result.mod_revision = revision;
-	end(c, key, &result);
+	finish_put(c, key, &result);
 }
 
-/* Tell the caller of the key's first put, and make way for the next one. */
+/* Reports the outcome of the key's first put and makes the next one ready. */
 static void
-end(struct commit *c, struct commit_key *key,
+finish_put(struct commit *c, struct commit_key *key,
     const struct commit_result *result)
 {
 	struct commit_item *item;
@@ -466,14 +469,14 @@
 		free(key->name);
 		free(key);
 	} else
-		move(key, &c->ready);
+		move_key(key, &c->ready);
 	counter_inc("lagoonpin_commit_puts", outcome_labels[result->outcome]);
 	item->done(result, item->ctx);
 	commit_item_free(item);
 }
 
 static void
-move(struct commit_key *key, struct commit_key_list *to)
+move_key(struct commit_key *key, struct commit_key_list *to)
 {
 	TAILQ_REMOVE(key->list, key, link);
 	TAILQ_INSERT_TAIL(to, key, link);
--- a/lib/commit.h
+++ b/lib/commit.h
@@ -4,105 +4,110 @@
 #include "store.h"
 
 /*
- * Group commit: callers queue compare-and-swap puts of single keys, which go
- * out together, one transaction at a time and at most one every commit_ms.
- * Each put ends on its own: one that fails its compare doesn't hold up the
+ * Group commit: compare-and-swap puts of single keys are queued and sent in
+ * batches, one transaction at a time and at most one every commit_ms.  Each
+ * put has its own outcome: one whose comparison fails doesn't delay the
  * others of its transaction.
  *
- * When the answer to a transaction is lost, its keys are read back, and
- * nothing else is written to them before it is known what became of each put.
- * A key that hasn't changed proves nothing, since the lost transaction may
- * still be on its way into the store; so the same put is sent again with the
- * same compare.  Only one of the two can succeed, and both write the same
- * value, so what the key then holds tells.  For this a value must be one that
- * no other writer would write: owner and sequence, or a nonce, are part of it.
+ * When a transaction gets no response, its keys are read back, and nothing
+ * else is written to them until the outcome of each put is known.  An
+ * unchanged key proves nothing, since the store may still apply the first
+ * transaction; so the same put is sent again with the same comparison.  Only
+ * one of the two can succeed, and both write the same value, so the value
+ * then stored shows the outcome.  This requires values that no other writer
+ * would write: the owner and a sequence number, or a nonce, are part of them.
  *
  * The module does no I/O and takes the time as an argument; commit_loop.h
- * ties it to a store and a loop.
+ * connects it to a store client and an event loop.
  */
 
 struct commit;
 
 enum commit_outcome {
-	COMMIT_WRITTEN, /* the key stands at mod_revision, or did */
+	COMMIT_WRITTEN, /* the key has, or had, mod_revision */
 	COMMIT_CONFLICT, /* the key isn't at the expected revision */
-	COMMIT_NOT_WRITTEN, /* certainly not, because of error */
+	COMMIT_NOT_WRITTEN, /* certainly not applied, because of error */
 	/*
-	 * May have been, or yet be: an answer was lost and then the store
-	 * refused the second sending, as with a lease that has lapsed, or
-	 * commit_close came.
+	 * May have been applied, or may yet be: a transaction got no response
+	 * and then the store refused the retry, for example because the lease
+	 * had expired, or commit_close() was called.
 	 */
 	COMMIT_UNKNOWN
 };
 
 struct commit_result {
 	enum commit_outcome outcome;
-	enum store_error error; /* of COMMIT_NOT_WRITTEN and _UNKNOWN */
-	int64_t mod_revision; /* of COMMIT_WRITTEN */
-	const struct store_kv *current; /* of COMMIT_CONFLICT; NULL: no key */
+	enum store_error error; /* COMMIT_NOT_WRITTEN and COMMIT_UNKNOWN */
+	int64_t mod_revision; /* COMMIT_WRITTEN */
+	const struct store_kv *current; /* COMMIT_CONFLICT; NULL: no such key */
 	/*
-	 * Of COMMIT_CONFLICT: an answer was lost, so the put may have been
-	 * applied and then replaced by what is there now.
+	 * COMMIT_CONFLICT: a transaction got no response, so the put may have
+	 * been applied and then overwritten by the current value.
 	 */
 	bool may_have_been_applied;
 };
 
 typedef void commit_done(const struct commit_result *, void *ctx);
 
-/* All of it is copied. */
+/* commit_put() copies all of it. */
 struct commit_request {
 	const char *key;
 	int64_t expected; /* its mod_revision; 0: the key must not exist */
 	const void *value;
 	size_t len;
 	int64_t lease; /* 0: none */
-	/* Puts and deletes of other keys, done if and only if the put is. */
+	/* Puts and deletes of other keys, applied if and only if the put is. */
 	const struct store_op *also;
 	size_t nalso;
-	commit_done *done; /* never from within commit_put */
+	commit_done *done; /* never called from within commit_put() */
 	void *ctx;
 };
 
 /*
- * Send a transaction.  Unless this returns an error (then nothing was sent)
- * its answer must be handed to commit_answer, once, later.
+ * Sends a transaction.  An error means that nothing was sent; otherwise its
+ * result must be passed to commit_answer() exactly once, later.
  */
 typedef enum store_error commit_send(
     const struct store_txn_request *, void *ctx);
 
 struct commit_options {
-	int64_t commit_ms; /* shortest time between two transactions */
-	int64_t read_back_ms; /* first wait before reading back; 0: 100 */
+	int64_t commit_ms; /* minimum interval between transactions */
+	int64_t read_back_ms; /* initial delay before reading back; 0: 100 */
 	int64_t read_back_max_ms; /* 0: 2000 */
-	size_t max_ops; /* of a transaction; 0: 100 */
-	size_t max_bytes; /* of its values, unless it is one put; 0: 1 MiB */
+	size_t max_ops; /* per transaction; 0: 100 */
+	/* Values per transaction; a larger put is sent alone.  0: 1 MiB */
+	size_t max_bytes;
 	size_t max_queued; /* puts; 0: 10000 */
 	commit_send *send;
 	void *ctx;
 };
 
-/* NULL without memory. */
+/* Returns NULL when out of memory. */
 struct commit *commit_open(const struct commit_options *);
 /*
- * Ends every put.  With a transaction under way, its answer must still be
- * handed to commit_answer.  Allowed in callbacks.
+ * Ends every put.  The result of a transaction in flight must still be passed
+ * to commit_answer().  May be called from callbacks.
  */
 void commit_close(struct commit *);
 
 /*
- * STORE_ERR_BUDGET when max_queued are queued, STORE_ERR_REFUSED for more ops
- * than a transaction takes, STORE_ERR_MEMORY; with these done won't be called.
+ * Returns STORE_ERR_BUDGET when max_queued puts are queued, STORE_ERR_REFUSED
+ * for more operations than a transaction may have, or STORE_ERR_MEMORY; on
+ * error done isn't called.
  */
 enum store_error commit_put(
     struct commit *, const struct commit_request *, int64_t now_ms);
-/* Send what is due. */
+/* Sends the next transaction if it is due. */
 void commit_tick(struct commit *, int64_t now_ms);
-/* When commit_tick has something to do; INT64_MAX: wait for an answer. */
+/*
+ * When commit_tick() must be called next; INT64_MAX: nothing to send before
+ * the next commit_put() or commit_answer().
+ */
 int64_t commit_due_ms(const struct commit *);
 void commit_answer(
     struct commit *, const struct store_txn_result *, int64_t now_ms);
 
-/* Whether a put to the key is queued, under way or in doubt. */
+/* Whether a put to the key is queued, in flight or of unknown outcome. */
 bool commit_is_pending(const struct commit *, const char *key);
 size_t commit_pending(const struct commit *);
 
--- a/lib/commit_loop.c
+++ b/lib/commit_loop.c
@@ -8,7 +8,7 @@
 	uv_timer_t timer;
 	struct store *store;
 	struct commit *commit;
-	bool in_flight; /* the store owes an answer */
+	bool in_flight; /* a store transaction awaits its result */
 	bool closing;
 	bool timer_closed;
 };
@@ -17,8 +17,8 @@
 static void on_answer(const struct store_txn_result *, void *);
 static void on_timer(uv_timer_t *);
 static void on_timer_closed(uv_handle_t *);
-static void arm(struct commit_loop *, int64_t);
-static void free_if_over(struct commit_loop *);
+static void start_timer(struct commit_loop *, int64_t);
+static void free_if_closed(struct commit_loop *);
 
 struct commit_loop *
 commit_loop_open(const struct commit_loop_options *o)
@@ -60,11 +60,11 @@
 
 	l = handle->data;
 	l->timer_closed = true;
-	free_if_over(l);
+	free_if_closed(l);
 }
 
 static void
-free_if_over(struct commit_loop *l)
+free_if_closed(struct commit_loop *l)
 {
 	if (l->timer_closed && !l->in_flight)
 		free(l);
@@ -78,7 +78,7 @@
 	if (l->closing)
 		return STORE_ERR_CANCELLED;
 	error = commit_put(l->commit, put, clock_now_ms());
-	arm(l, 0);
+	start_timer(l, 0);
 	return error;
 }
 
@@ -108,8 +108,8 @@
 	l = ctx;
 	l->in_flight = false;
 	commit_answer(l->commit, result, clock_now_ms());
-	arm(l, 0);
-	free_if_over(l);
+	start_timer(l, 0);
+	free_if_closed(l);
 }
 
 static void
@@ -124,12 +124,12 @@
 	if (l->closing)
 		return;
 	commit_tick(l->commit, now_ms);
-	/* A timer set to 0 in its own callback would keep the loop. */
-	arm(l, 1);
+	/* A timer of 0 set in its own callback would starve the loop. */
+	start_timer(l, 1);
 }
 
 static void
-arm(struct commit_loop *l, int64_t least_ms)
+start_timer(struct commit_loop *l, int64_t min_delay_ms)
 {
 	int64_t due_ms, delay_ms;
 
@@ -140,7 +140,7 @@
 		return;
 	}
 	delay_ms = due_ms - clock_now_ms();
-	if (delay_ms < least_ms)
-		delay_ms = least_ms;
+	if (delay_ms < min_delay_ms)
+		delay_ms = min_delay_ms;
 	uv_timer_start(&l->timer, on_timer, (uint64_t)delay_ms, 0);
 }
--- a/lib/commit_loop.h
+++ b/lib/commit_loop.h
@@ -5,27 +5,27 @@
 
 #include "commit.h"
 
-/* A group commit that sends through a store client, driven by a loop. */
+/* Group commit that uses a store client, driven by an event loop. */
 
 struct commit_loop;
 
 struct commit_loop_options {
 	uv_loop_t *loop;
-	struct store *store; /* must be closed after, never before */
-	int64_t commit_ms; /* shortest time between two transactions */
+	struct store *store; /* must not be closed before the commit_loop */
+	int64_t commit_ms; /* minimum interval between transactions */
 };
 
-/* NULL without memory. */
+/* Returns NULL when out of memory. */
 struct commit_loop *commit_loop_open(const struct commit_loop_options *);
-/* Ends every put.  Freed by the loop once the store has answered. */
+/* Ends every put.  Freed in the loop once no transaction is in flight. */
 void commit_loop_close(struct commit_loop *);
 
-/* As commit_put. */
+/* Same as commit_put(). */
 enum store_error commit_loop_put(
     struct commit_loop *, const struct commit_request *);
-/* The group commit itself, for commit_is_pending and commit_pending. */
+/* For commit_is_pending() and commit_pending(). */
 const struct commit *commit_loop_commit(const struct commit_loop *);
-/* Do what is due; a timer of the loop calls it, and tests may. */
+/* Calls commit_tick(); called by a loop timer, and by tests. */
 void commit_loop_tick(struct commit_loop *, int64_t now_ms);
 
 #endif /* COMMIT_LOOP_H */
--- a/lib/commit_txn.c
+++ b/lib/commit_txn.c
@@ -97,7 +97,7 @@
 	memset(b, 0, sizeof(*b));
 }
 
-/* The store refuses a transaction that writes a key twice. */
+/* The store refuses a transaction that writes a key more than once. */
 static bool
 writes_key(const struct commit_batch *b, const char *key)
 {
--- a/lib/counter.c
+++ b/lib/counter.c
@@ -30,21 +30,21 @@
 SLIST_HEAD(counter_list, counter);
 SLIST_HEAD(latency_list, latency);
 
-static unsigned int slot_of(const char *, const char *);
+static unsigned int hash_series(const char *, const char *);
 static void print_latency(FILE *, const struct latency *);
 
-/* Bucket bounds in milliseconds; the last one is taken as infinity. */
+/* Bucket bounds in milliseconds; the last one is printed as +Inf. */
 static const double bounds_ms[] = { 0, 0.5, 1, 2, 3, 5, 7, 10, 15, 20, 30, 50,
 	75, 100, 150, 200, 300, 500, 1000, 2000, 5000, 10000, 1e9 };
 #define NBOUNDS (sizeof(bounds_ms) / sizeof(bounds_ms[0]))
 
 static struct counter_list table[TABLE_SIZE];
 static struct latency_list latencies = SLIST_HEAD_INITIALIZER(latencies);
-static struct counter spare;
-static struct latency spare_latency;
+static struct counter fallback_counter;
+static struct latency fallback_latency;
 
 static unsigned int
-slot_of(const char *name, const char *labels)
+hash_series(const char *name, const char *labels)
 {
 	XXH64_hash_t h;
 
@@ -57,28 +57,28 @@
 counter_get(const char *name, const char *labels)
 {
 	struct counter *c;
-	unsigned int slot;
+	unsigned int bucket;
 
-	slot = slot_of(name, labels);
-	SLIST_FOREACH (c, &table[slot], link) {
+	bucket = hash_series(name, labels);
+	SLIST_FOREACH (c, &table[bucket], link) {
 		if (strcmp(c->name, name) == 0 &&
 		    strcmp(c->labels, labels) == 0)
 			return c;
 	}
 	if ((c = calloc(1, sizeof(*c))) == NULL)
-		return &spare;
+		return &fallback_counter;
 	c->name = strdup(name);
 	c->labels = strdup(labels);
 	if (c->name == NULL || c->labels == NULL)
 		goto fail;
-	SLIST_INSERT_HEAD(&table[slot], c, link);
+	SLIST_INSERT_HEAD(&table[bucket], c, link);
 	return c;
 
 fail:
 	free(c->name);
 	free(c->labels);
 	free(c);
-	return &spare;
+	return &fallback_counter;
 }
 
 void
@@ -125,7 +125,7 @@
 			return l;
 	}
 	if ((l = calloc(1, sizeof(*l))) == NULL)
-		return &spare_latency;
+		return &fallback_latency;
 	l->name = strdup(name);
 	l->service = strdup(service);
 	l->buckets = gsl_histogram_alloc(NBOUNDS - 1);
@@ -141,7 +141,7 @@
 	if (l->buckets != NULL)
 		gsl_histogram_free(l->buckets);
 	free(l);
-	return &spare_latency;
+	return &fallback_latency;
 }
 
 void
@@ -156,19 +156,19 @@
 static void
 print_latency(FILE *f, const struct latency *l)
 {
-	double below;
+	double cumulative;
 	size_t i;
 
-	below = 0;
+	cumulative = 0;
 	for (i = 0; i + 1 < NBOUNDS; i++) {
-		below += gsl_histogram_get(l->buckets, i);
+		cumulative += gsl_histogram_get(l->buckets, i);
 		if (i + 2 == NBOUNDS)
 			fprintf(f,
 			    "%s_bucket{service=\"%s\",le=\"+Inf\"} %.0f\n",
-			    l->name, l->service, below);
+			    l->name, l->service, cumulative);
 		else
 			fprintf(f, "%s_bucket{service=\"%s\",le=\"%g\"} %.0f\n",
-			    l->name, l->service, bounds_ms[i + 1], below);
+			    l->name, l->service, bounds_ms[i + 1], cumulative);
 	}
 	fprintf(
 	    f, "%s_sum{service=\"%s\"} %.3f\n", l->name, l->service, l->sum_ms);
@@ -183,13 +183,13 @@
 	struct latency *l;
 	char *text;
 	FILE *f;
-	int slot;
+	int bucket;
 
 	text = NULL;
 	if ((f = open_memstream(&text, len)) == NULL)
 		return NULL;
-	for (slot = 0; slot < TABLE_SIZE; slot++) {
-		SLIST_FOREACH (c, &table[slot], link) {
+	for (bucket = 0; bucket < TABLE_SIZE; bucket++) {
+		SLIST_FOREACH (c, &table[bucket], link) {
 			fprintf(f,
 			    c->labels[0] == '\0' ? "%s%s %llu\n" :
 						   "%s{%s} %llu\n",
@@ -210,11 +210,11 @@
 {
 	struct counter *c;
 	struct latency *l;
-	int slot;
+	int bucket;
 
-	for (slot = 0; slot < TABLE_SIZE; slot++) {
-		while ((c = SLIST_FIRST(&table[slot])) != NULL) {
-			SLIST_REMOVE_HEAD(&table[slot], link);
+	for (bucket = 0; bucket < TABLE_SIZE; bucket++) {
+		while ((c = SLIST_FIRST(&table[bucket])) != NULL) {
+			SLIST_REMOVE_HEAD(&table[bucket], link);
 			free(c->name);
 			free(c->labels);
 			free(c);
--- a/lib/decimal.h
+++ b/lib/decimal.h
@@ -6,12 +6,12 @@
 #include <jansson.h>
 
 /*
- * 64-bit integers in the JSON of the store's gateway.  It writes them as
- * decimal text, since many readers of JSON keep only 53 bits of a number,
- * and takes both forms.
+ * 64-bit integers in the JSON of the store's gateway.  The gateway writes them
+ * as decimal strings, since many JSON parsers keep only 53 bits of a number,
+ * and accepts both forms.
  */
 
-/* The member of that name; 0 when it is left out or isn't an integer. */
+/* The value of a member; 0 when it is absent or isn't an integer. */
 int64_t decimal_member(const json_t *object, const char *name);
 
 #endif /* DECIMAL_H */
--- a/lib/httpc.c
+++ b/lib/httpc.c
@@ -4,11 +4,11 @@
 #include "httpc_int.h"
 
 static void on_timer_closed(uv_handle_t *);
-static void reap(struct httpc *);
+static void finish_completed(struct httpc *);
 static void start_queued(struct httpc *);
-static void finish(struct httpc_call *, enum httpc_error);
+static void finish_call(struct httpc_call *, enum httpc_error);
 static void call_free(struct httpc_call *);
-static void shut(struct httpc *);
+static void free_handles(struct httpc *);
 
 struct httpc *
 httpc_open(const struct httpc_options *options)
@@ -47,15 +47,15 @@
 	for (call = TAILQ_FIRST(&h->calls); call != NULL; call = next) {
 		next = TAILQ_NEXT(call, link);
 		if (call->state != CALL_DEAD)
-			finish(call, HTTPC_ERR_CANCELLED);
+			finish_call(call, HTTPC_ERR_CANCELLED);
 	}
 	if (h->in_curl == 0)
-		shut(h);
+		free_handles(h);
 }
 
-/* Give libcurl's sockets up; the loop frees the client with its timer. */
+/* Frees libcurl's handles; the client is freed when its timer has closed. */
 static void
-shut(struct httpc *h)
+free_handles(struct httpc *h)
 {
 	struct httpc_call *call;
 
@@ -110,14 +110,14 @@
 	if (call->state == CALL_DEAD)
 		return;
 	h = call->client;
-	finish(call, HTTPC_ERR_CANCELLED);
+	finish_call(call, HTTPC_ERR_CANCELLED);
 	if (h->in_curl == 0 && !h->closing)
 		call_free(call);
 }
 
-/* Tell the caller how the call ended; call_free comes after. */
+/* Reports the end of a call; it still has to be freed with call_free(). */
 static void
-finish(struct httpc_call *call, enum httpc_error error)
+finish_call(struct httpc_call *call, enum httpc_error error)
 {
 	struct httpc_result result;
 	long status;
@@ -135,7 +135,7 @@
 	call->on_done(&result, call->ctx);
 }
 
-/* Only while libcurl isn't on the stack. */
+/* Must not be called from a libcurl callback. */
 static void
 call_free(struct httpc_call *call)
 {
@@ -193,23 +193,23 @@
 	if (h->in_curl > 0)
 		return;
 	if (!h->closing)
-		reap(h);
+		finish_completed(h);
 	if (!h->closing)
 		start_queued(h);
 	if (h->closing)
-		shut(h);
+		free_handles(h);
 }
 
-/* Calls that libcurl has ended, and those cancelled in its callbacks. */
+/* Finishes the calls that libcurl completed, and frees all finished ones. */
 static void
-reap(struct httpc *h)
+finish_completed(struct httpc *h)
 {
 	struct httpc_call *call, *next;
 	CURLMsg *message;
 	CURLcode code;
 	int left;
 
-	/* in_curl keeps on_done from freeing what the loops walk over. */
+	/* While in_curl is set, on_done can't free calls or the client. */
 	h->in_curl++;
 	while ((message = curl_multi_info_read(h->multi, &left)) != NULL) {
 		if (message->msg != CURLMSG_DONE)
@@ -218,7 +218,7 @@
 		curl_easy_getinfo(
 		    message->easy_handle, CURLINFO_PRIVATE, (char **)&call);
 		if (call->state != CALL_DEAD)
-			finish(call, httpc_call_error(call, code));
+			finish_call(call, httpc_call_error(call, code));
 	}
 	h->in_curl--;
 	if (h->closing)
@@ -230,7 +230,7 @@
 	}
 }
 
-/* Calls started in libcurl's callbacks, where it takes no new ones. */
+/* Starts calls made in libcurl callbacks, which can't add handles. */
 static void
 start_queued(struct httpc *h)
 {
@@ -242,7 +242,7 @@
 			call->state = CALL_ACTIVE;
 			if (curl_multi_add_handle(h->multi, call->easy) !=
 			    CURLM_OK)
-				finish(call, HTTPC_ERR_MEMORY);
+				finish_call(call, HTTPC_ERR_MEMORY);
 		}
 		next = TAILQ_NEXT(call, link);
 	}
--- a/lib/httpc.h
+++ b/lib/httpc.h
@@ -8,8 +8,8 @@
 #include <uv.h>
 
 /*
- * HTTP client: libcurl's multi-socket interface on a libuv loop, connections
- * kept and reused.
+ * HTTP client: libcurl's multi-socket interface on a libuv loop, with
+ * persistent connections.
  */
 
 struct httpc;
@@ -17,11 +17,11 @@
 
 enum httpc_error {
 	HTTPC_OK,
-	HTTPC_ERR_CONNECT, /* no connection in time: nothing reached the peer */
-	HTTPC_ERR_TIMEOUT, /* the peer may have acted */
-	HTTPC_ERR_BROKEN, /* cut before the whole answer came: may have acted */
-	HTTPC_ERR_TOO_LARGE, /* the answer is over body_max */
-	HTTPC_ERR_CANCELLED, /* httpc_cancel: see sent */
+	HTTPC_ERR_CONNECT, /* no connection: nothing reached the peer */
+	HTTPC_ERR_TIMEOUT, /* the peer may have processed the request */
+	HTTPC_ERR_BROKEN, /* incomplete response: may have been processed */
+	HTTPC_ERR_TOO_LARGE, /* the response body exceeds body_max */
+	HTTPC_ERR_CANCELLED, /* httpc_cancel(): see sent */
 	HTTPC_ERR_MEMORY /* not sent */
 };
 
@@ -33,21 +33,23 @@
 struct httpc_result {
 	enum httpc_error error;
 	bool sent; /* false: certainly nothing reached the peer */
-	int status; /* HTTP status, 0 without one */
-	const char *body; /* NUL-terminated; not when on_data is set */
+	int status; /* HTTP status, 0 if none was received */
+	const char *body; /* NUL-terminated; empty if on_data is set */
 	size_t body_len;
 	struct httpc_call *call; /* for httpc_response_header */
 };
 
-/* Valid only during the callback.  Called exactly once a call, never from
- * within httpc_start. */
+/*
+ * Called exactly once per call, never from within httpc_start().  The result is
+ * valid only during the callback.
+ */
 typedef void httpc_done(const struct httpc_result *, void *ctx);
 /*
- * Asked once the connection stands, right before the first byte goes out;
- * false: it isn't sent and the call ends as HTTPC_ERR_CONNECT.
+ * Called once connected, right before the first byte is sent; false: the
+ * request isn't sent and the call ends with HTTPC_ERR_CONNECT.
  */
 typedef bool httpc_may_send(void *ctx);
-/* The status line and headers are in; before the first on_data. */
+/* Called after the status line and headers, before the first on_data. */
 typedef void httpc_head(struct httpc_call *, int status, void *ctx);
 typedef void httpc_data(
     struct httpc_call *, const char *data, size_t len, void *ctx);
@@ -60,19 +62,19 @@
 	const void *body; /* copied */
 	size_t body_len;
 	int64_t connect_timeout_ms;
-	int64_t timeout_ms; /* whole call; 0: none */
-	size_t body_max; /* bytes collected; 0: 16 MiB; not with on_data */
+	int64_t timeout_ms; /* whole call; 0: no timeout */
+	size_t body_max; /* bytes; 0: 16 MiB; ignored with on_data */
 	/*
-	 * The request may go out twice.  libcurl silently repeats a request
-	 * whose kept connection dies before a byte of the answer came, though
-	 * the peer may have run it: a payout would run twice.  Unless this is
-	 * set, or the method is GET or HEAD, such a call ends as
-	 * HTTPC_ERR_BROKEN with sent set.
+	 * The request may be sent twice.  libcurl silently retries a request
+	 * if its reused connection is closed before the first byte of the
+	 * response, though the peer may have processed it: a payout would run
+	 * twice.  Unless this is set, or the method is GET or HEAD, such a call
+	 * ends with HTTPC_ERR_BROKEN and sent set.
 	 */
 	bool idempotent;
 	httpc_may_send *may_send; /* or NULL */
 	httpc_head *on_head; /* or NULL */
-	httpc_data *on_data; /* or NULL: body is collected */
+	httpc_data *on_data; /* or NULL: the body is buffered */
 	httpc_done *on_done;
 	void *ctx;
 };
@@ -81,26 +83,29 @@
 	uv_loop_t *loop;
 	long max_connections_per_host; /* 0: no limit */
 	long max_idle_connections; /* 0: libcurl's default */
-	long idle_s; /* close connections unused so long; 0: 118 s */
-	long keepalive_s; /* TCP keep-alive; 0: off */
+	long idle_s; /* idle connections are closed after; 0: 118 s */
+	long keepalive_s; /* TCP keepalive idle time and interval; 0: off */
 };
 
-/* NULL: no memory, or libcurl can't be set up. */
+/* Returns NULL when out of memory or if libcurl can't be initialized. */
 struct httpc *httpc_open(const struct httpc_options *);
 /*
- * Cancels what is open (on_done is called with HTTPC_ERR_CANCELLED).  The
- * loop must then run until its handles have closed.
+ * Cancels open calls (on_done is called with HTTPC_ERR_CANCELLED).  The loop
+ * must then run until the client's handles are closed.
  */
 void httpc_close(struct httpc *);
 
-/* NULL: no memory, on_done won't be called. */
+/*
+ * Returns NULL when out of memory, for a bad URL or header, or while closing;
+ * on_done isn't called then.
+ */
 struct httpc_call *httpc_start(struct httpc *, const struct httpc_request *);
 /*
- * on_done is called with HTTPC_ERR_CANCELLED before this returns.  Allowed in
+ * Calls on_done with HTTPC_ERR_CANCELLED before returning.  May be called from
  * any callback but the call's own on_done.
  */
 void httpc_cancel(struct httpc_call *);
-/* A header of the answer, or NULL; valid until on_done returns. */
+/* A response header, or NULL; valid until on_done returns. */
 const char *httpc_response_header(struct httpc_call *, const char *name);
 
 const char *httpc_strerror(enum httpc_error);
--- a/lib/httpc_call.c
+++ b/lib/httpc_call.c
@@ -6,10 +6,10 @@
 #include "httpc_int.h"
 
 #define BODY_MAX_DEFAULT (16UL * 1024 * 1024)
-#define BODY_FIRST 4096
+#define BODY_SIZE_MIN 4096
 #define CONNECT_TIMEOUT_DEFAULT_MS 2000
 #define CALL_HEADER_MAX 4096
-/* libcurl 7.88 overlooks a timeout of 1 ms until its next timer, 200 ms on. */
+/* libcurl 7.88 misses a timeout of 1 ms until its next timer, 200 ms later. */
 #define TIMEOUT_MIN_MS 2
 
 static void set_connection(struct httpc_call *, const struct httpc_request *);
@@ -110,18 +110,18 @@
 static int
 set_headers(struct httpc_call *call, const struct httpc_request *request)
 {
-	static const char *const unwanted[] = {
+	static const char *const suppressed[] = {
 		"Expect:", "Accept:", "Content-Type:"
 	};
 	struct curl_slist *list;
 	char line[CALL_HEADER_MAX];
-	bool typed;
+	bool has_content_type;
 	size_t i;
 	int n;
 
-	typed = false;
+	has_content_type = false;
 	for (i = 0; i < request->nheaders; i++) {
-		/* libcurl takes "name;" for a header without a value. */
+		/* For libcurl "name;" is a header with an empty value. */
 		n = snprintf(line, sizeof(line),
 		    request->headers[i].value[0] == '\0' ? "%s;%s" : "%s: %s",
 		    request->headers[i].name, request->headers[i].value);
@@ -130,15 +130,16 @@
 		if (strpbrk(line, "\r\n") != NULL)
 			return -1;
 		if (strcasecmp(request->headers[i].name, "content-type") == 0)
-			typed = true;
+			has_content_type = true;
 		if ((list = curl_slist_append(call->headers, line)) == NULL)
 			return -1;
 		call->headers = list;
 	}
-	for (i = 0; i < sizeof(unwanted) / sizeof(unwanted[0]); i++) {
-		if (typed && strcmp(unwanted[i], "Content-Type:") == 0)
+	for (i = 0; i < sizeof(suppressed) / sizeof(suppressed[0]); i++) {
+		if (has_content_type &&
+		    strcmp(suppressed[i], "Content-Type:") == 0)
 			continue;
-		list = curl_slist_append(call->headers, unwanted[i]);
+		list = curl_slist_append(call->headers, suppressed[i]);
 		if (list == NULL)
 			return -1;
 		call->headers = list;
@@ -154,10 +155,10 @@
 }
 
 /*
- * libcurl calls this when a connection stands and before the first byte of
- * the request, once for each time that it sends it.  So a call for which it
- * never came has reached nobody, and the second time is the silent repeat of
- * a request that the peer may have run.
+ * libcurl calls this when connected and before the first byte of the request,
+ * once for each time that it sends the request.  So if it wasn't called,
+ * nothing reached the peer, and the second call is libcurl's silent retry of a
+ * request that the peer may have processed.
  */
 static int
 on_before_send(
@@ -200,8 +201,8 @@
 on_body(char *data, size_t size, size_t n, void *ctx)
 {
 	struct httpc_call *call;
-	size_t len, want;
-	char *grown;
+	size_t len, need;
+	char *new_body;
 
 	call = ctx;
 	len = size * n;
@@ -215,16 +216,16 @@
 		call->too_large = true;
 		return 0;
 	}
-	want = call->body_len + len + 1;
-	if (want > call->body_size) {
-		if (want < call->body_size * 2)
-			want = call->body_size * 2;
-		if (want < BODY_FIRST)
-			want = BODY_FIRST;
-		if ((grown = realloc(call->body, want)) == NULL)
+	need = call->body_len + len + 1;
+	if (need > call->body_size) {
+		if (need < call->body_size * 2)
+			need = call->body_size * 2;
+		if (need < BODY_SIZE_MIN)
+			need = BODY_SIZE_MIN;
+		if ((new_body = realloc(call->body, need)) == NULL)
 			return 0;
-		call->body = grown;
-		call->body_size = want;
+		call->body = new_body;
+		call->body_size = need;
 	}
 	memcpy(call->body + call->body_len, data, len);
 	call->body_len += len;
@@ -233,8 +234,8 @@
 }
 
 /*
- * An answer that ends where the connection does can't be told from one that
- * was cut: the caller would take half of it for the whole.
+ * A response delimited by the end of the connection can't be told from a
+ * truncated one: the caller would accept a partial body as complete.
  */
 static bool
 is_delimited(struct httpc_call *call)
--- a/lib/httpc_int.h
+++ b/lib/httpc_int.h
@@ -7,12 +7,12 @@
 
 #include "httpc.h"
 
-/* What the files of the HTTP client share. */
+/* Shared by the HTTP client sources. */
 
 enum call_state {
-	CALL_QUEUED, /* not yet known to libcurl */
+	CALL_QUEUED, /* not yet added to libcurl */
 	CALL_ACTIVE,
-	CALL_DEAD /* on_done was called, libcurl still holds the handle */
+	CALL_DEAD /* on_done was called; not yet removed from libcurl */
 };
 
 struct httpc_call {
@@ -45,21 +45,21 @@
 	struct call_list calls;
 	long keepalive_s;
 	long idle_s;
-	int in_curl; /* depth of calls into libcurl that may call back */
+	int in_curl; /* depth of libcurl calls that may call back */
 	bool closing;
 };
 
-/* httpc.c: after each time that libcurl has worked. */
+/* httpc.c: called after each call of curl_multi_socket_action(). */
 void httpc_process_results(struct httpc *);
 
 /* httpc_call.c */
-/* Give libcurl all that the request says; -1: no memory or a bad header. */
+/* Set libcurl's options; -1: out of memory, bad URL or bad header. */
 int httpc_call_set_up(struct httpc_call *, const struct httpc_request *);
-/* How a transfer ended that libcurl calls ended with code. */
+/* Map the libcurl result of a transfer to an error. */
 enum httpc_error httpc_call_error(struct httpc_call *, CURLcode);
 
 /* httpc_loop.c */
-/* Let libcurl use the loop's timer and sockets. */
+/* Set up libcurl's socket and timer callbacks on the loop. */
 void httpc_loop_attach(struct httpc *);
 
 #endif /* HTTPC_INT_H */
--- a/lib/httpc_loop.c
+++ b/lib/httpc_loop.c
@@ -2,7 +2,7 @@
 
 #include "httpc_int.h"
 
-/* A socket of libcurl's that the loop watches. */
+/* Poll handle of a libcurl socket. */
 struct socket_watch {
 	uv_poll_t poll;
 	struct httpc *client;
@@ -14,7 +14,7 @@
 static int on_socket(CURL *, curl_socket_t, int, void *, void *);
 static void on_poll(uv_poll_t *, int, int);
 static void on_poll_closed(uv_handle_t *);
-static void drive(struct httpc *, curl_socket_t, int);
+static void socket_action(struct httpc *, curl_socket_t, int);
 
 void
 httpc_loop_attach(struct httpc *h)
@@ -44,7 +44,7 @@
 static void
 on_timeout(uv_timer_t *timer)
 {
-	drive(timer->data, CURL_SOCKET_TIMEOUT, 0);
+	socket_action(timer->data, CURL_SOCKET_TIMEOUT, 0);
 }
 
 static int
@@ -100,7 +100,7 @@
 		flags |= CURL_CSELECT_IN;
 	if (events & UV_WRITABLE)
 		flags |= CURL_CSELECT_OUT;
-	drive(watch->client, watch->socket, flags);
+	socket_action(watch->client, watch->socket, flags);
 }
 
 static void
@@ -109,9 +109,9 @@
 	free(handle->data);
 }
 
-/* Let libcurl work on a socket or its timer, then deal with what came of it. */
+/* Passes a socket event or a timeout to libcurl and handles the results. */
 static void
-drive(struct httpc *h, curl_socket_t socket, int events)
+socket_action(struct httpc *h, curl_socket_t socket, int events)
 {
 	int running;
 
--- a/lib/httpd.c
+++ b/lib/httpd.c
@@ -6,11 +6,11 @@
 #include "httpd_int.h"
 
 #define BACKLOG 1024
-#define ANY_PORT 65535 /* as h2o has it */
+#define ANY_PORT 65535 /* h2o's value for any port */
 #define URI_PATH_ROOT "/"
 
 struct httpd_connection {
-	uv_tcp_t tcp; /* first: h2o closes and we free */
+	uv_tcp_t tcp; /* must be first: on_connection_closed() casts */
 	struct httpd *httpd;
 	LIST_ENTRY(httpd_connection) link;
 };
@@ -24,7 +24,7 @@
 static void on_closer_step2(uv_handle_t *);
 static void free_httpd(uv_handle_t *);
 
-/* One host, one path, one handler: the handlers look at the path. */
+/* One host, path and handler for all requests; httpd_handler routes. */
 static void
 set_up_h2o(struct httpd *h, const struct httpd_options *options)
 {
@@ -61,8 +61,8 @@
 		return NULL;
 	}
 	/*
-	 * libuv writes with write(2): a caller that left would end the whole
-	 * process by SIGPIPE.  Ignored, the write fails with EPIPE.
+	 * libuv uses write(2), so a disconnected client would kill the process
+	 * with SIGPIPE.  With the signal ignored, the write fails with EPIPE.
 	 */
 	signal(SIGPIPE, SIG_IGN);
 	h->loop = options->loop;
@@ -124,8 +124,8 @@
 
 	h->closing = true;
 	/*
-	 * h2o owns its connections and can't be told to drop them.  Shutting
-	 * the sockets makes each read fail, so that h2o closes them itself.
+	 * h2o owns its connections and has no call to close them.  Shutting
+	 * down the sockets makes reads fail, so that h2o closes them.
 	 */
 	LIST_FOREACH (c, &h->connections, link) {
 		if (uv_fileno((uv_handle_t *)&c->tcp, &fd) == 0)
@@ -156,9 +156,9 @@
 }
 
 /*
- * h2o's timers live inside the context and are closed by its disposal; libuv
- * touches them until the next turn of the loop.  Two more turns pass before
- * the memory is freed.
+ * h2o's timers are part of the context, and h2o_context_dispose() closes them;
+ * libuv uses them until the next loop iteration.  The memory is freed after two
+ * more iterations.
  */
 static void
 on_closer_step1(uv_handle_t *handle)
@@ -166,7 +166,10 @@
 	struct httpd *h;
 
 	h = handle->data;
-	/* Armed by the request to shut down; disposal asserts that it isn't. */
+	/*
+	 * Started by h2o_context_request_shutdown(); h2o_context_dispose()
+	 * asserts that it is unlinked.
+	 */
 	h2o_timeout_unlink(&h->context.http2._graceful_shutdown_timeout);
 	h2o_context_dispose(&h->context);
 	uv_timer_init(h->loop, &h->closer);
@@ -202,7 +205,7 @@
 	case HTTPD_ERR_MEMORY:
 		return "out of memory";
 	case HTTPD_ERR_ADDRESS:
-		return "not an IPv4 number and port";
+		return "not an IPv4 address and port";
 	case HTTPD_ERR_LISTEN:
 		return "can't listen on the address";
 	}
--- a/lib/httpd.h
+++ b/lib/httpd.h
@@ -7,8 +7,8 @@
 #include <uv.h>
 
 /*
- * HTTP/1.1 and HTTP/2 server: h2o on a libuv loop.  A request may be answered
- * at once, later from any callback of the loop, or in pieces.
+ * HTTP/1.1 and HTTP/2 server: h2o on a libuv loop.  The response may be sent
+ * at once, later from any callback of the loop, or streamed.
  */
 
 struct httpd;
@@ -17,24 +17,24 @@
 enum httpd_error {
 	HTTPD_OK,
 	HTTPD_ERR_MEMORY,
-	HTTPD_ERR_ADDRESS, /* not an IPv4 number and port */
-	HTTPD_ERR_LISTEN /* the address can't be listened on */
+	HTTPD_ERR_ADDRESS, /* not an IPv4 address and port */
+	HTTPD_ERR_LISTEN /* bind or listen failed */
 };
 
-/* A request with its whole body has arrived. */
+/* Called for each request, once its whole body has been received. */
 typedef void httpd_handler(struct httpd_request *, void *ctx);
 
 /*
- * The caller went away before the answer was complete.  The request must not
- * be used afterwards.  Not called after the answer is complete.
+ * The client disconnected before the response was complete.  The request must
+ * not be used afterwards.  Not called once the response is complete.
  */
 typedef void httpd_disconnected(struct httpd_request *, void *ctx);
 
 struct httpd_options {
 	uv_loop_t *loop;
-	const char *ip; /* IPv4 number */
-	int port; /* 0: any free one */
-	size_t body_max; /* bytes; a larger body gets 413 */
+	const char *ip; /* IPv4 address */
+	int port; /* 0: any free port */
+	size_t body_max; /* bytes; larger bodies are refused with 413 */
 	httpd_handler *handler;
 	void *ctx;
 };
@@ -48,50 +48,55 @@
 struct httpd *httpd_open(const struct httpd_options *, enum httpd_error *error);
 int httpd_port(const struct httpd *);
 
-/* Stop taking connections; requests in flight go on. */
+/* Stop accepting connections; requests in flight continue. */
 void httpd_stop_listening(struct httpd *);
 
 /*
- * Go on serving, but close each connection after its next answer, so that
- * callers connect elsewhere.
+ * Continue serving, but close each connection after its next response, so that
+ * clients connect elsewhere.
  */
 void httpd_close_after_response(struct httpd *);
 
-/* Close everything, open requests included; the loop must then run once more.
+/*
+ * Close all connections, including those with open requests; the loop must then
+ * run until the handles are closed.
  */
 void httpd_close(struct httpd *);
 
 const char *httpd_strerror(enum httpd_error);
 
-/* Valid until the answer is complete or the caller is gone. */
+/* Valid until the response is complete or the client has disconnected. */
 const char *httpd_method(struct httpd_request *);
 const char *httpd_path(struct httpd_request *); /* without the query */
 const char *httpd_query(struct httpd_request *); /* after '?', or "" */
 const char *httpd_body(struct httpd_request *, size_t *len);
-/* The value of a header, NUL-terminated, or NULL.  name in lower case. */
+/* NUL-terminated value of a header, or NULL.  name is in lower case. */
 const char *httpd_request_header(struct httpd_request *, const char *name);
 
-/* Be told when the caller goes away. */
+/* Set the function that is called when the client disconnects. */
 void httpd_on_disconnect(
     struct httpd_request *, httpd_disconnected *, void *ctx);
 
-/* Answer whole; body and headers are copied.  The request is used up. */
+/*
+ * Send a complete response; body and headers are copied.  The request must not
+ * be used afterwards.
+ */
 void httpd_reply(struct httpd_request *, int status,
     const struct httpd_header *headers, size_t nheaders, const void *body,
     size_t len);
 
 /*
- * Answer in pieces: begin, send any number of times, end.  The status and the
- * headers go out with the first piece.
+ * Stream a response: begin, send any number of times, end.  The status and
+ * headers are sent with the first chunk.
  */
 void httpd_begin(struct httpd_request *, int status,
     const struct httpd_header *headers, size_t nheaders);
 void httpd_send(struct httpd_request *, const void *data, size_t len);
-/* The answer is complete. */
+/* Complete the response. */
 void httpd_end(struct httpd_request *);
 /*
- * The answer broke off: the connection or stream is reset so that the caller
- * can't take what it has for the whole answer.
+ * Abort the response: the connection or stream is reset so that the client
+ * can't mistake a partial response for a complete one.
  */
 void httpd_abort(struct httpd_request *);
 
--- a/lib/httpd_int.h
+++ b/lib/httpd_int.h
@@ -9,12 +9,12 @@
 
 #include "httpd.h"
 
-/* What httpd.c (connections) and httpd_request.c (requests) share. */
+/* Shared by httpd.c (connections) and httpd_request.c (requests). */
 
 struct httpd_connection;
 
 struct httpd_handler_slot {
-	h2o_handler_t super; /* first: h2o allocates by size */
+	h2o_handler_t super; /* must be first: h2o allocates and casts */
 	struct httpd *httpd;
 };
 
@@ -34,7 +34,7 @@
 	bool disposed;
 };
 
-/* h2o's handler: a request with its whole body has arrived. */
+/* h2o request handler, called once the whole body has been received. */
 int httpd_on_request(h2o_handler_t *, h2o_req_t *);
 
 #endif /* HTTPD_INT_H */
--- a/lib/httpd_request.c
+++ b/lib/httpd_request.c
@@ -4,40 +4,39 @@
 #include "httpd_int.h"
 
 #define HTTP_VERSION_2 0x200
-#define STATUS_GONE 499
-#define STATUS_BROKEN 502
+#define STATUS_CLIENT_CLOSED 499
+#define STATUS_BAD_GATEWAY 502
 
-/* Where the answer stands. */
-enum answer_state { ANSWER_NONE, ANSWER_STREAMING, ANSWER_COMPLETE };
+enum response_state { RESPONSE_NONE, RESPONSE_STREAMING, RESPONSE_COMPLETE };
 
 struct httpd_request {
-	h2o_generator_t generator; /* first: h2o hands it back */
+	h2o_generator_t generator; /* must be first: h2o callbacks cast */
 	h2o_req_t *req;
 	LIST_ENTRY(httpd_request) link; /* while watched */
 	bool watched;
-	enum answer_state state;
-	bool sending; /* h2o has a piece and will ask for more */
+	enum response_state state;
+	bool sending; /* h2o has a chunk and will call on_proceed */
 	bool ending;
 	bool aborting;
-	bool finished; /* h2o has the last piece */
-	char *queued; /* pieces that wait for h2o */
+	bool finished; /* h2o has the last chunk */
+	char *queued; /* data to send after the chunk in flight */
 	size_t queued_len;
 	size_t queued_size;
-	char *in_flight; /* the piece h2o has */
-	httpd_disconnected *on_gone;
-	void *gone_ctx;
+	char *in_flight; /* chunk passed to h2o */
+	httpd_disconnected *on_disconnect;
+	void *disconnect_ctx;
 };
 
 static void on_proceed(h2o_generator_t *, h2o_req_t *);
 static void on_stop(h2o_generator_t *, h2o_req_t *);
 static void on_request_disposed(void *);
-static void on_caller_data(h2o_socket_t *, const char *);
-static void watch_caller(struct httpd_request *);
-static void unwatch_caller(struct httpd_request *);
-static void tell_gone(struct httpd_request *);
-static void start_answer(
+static void on_client_data(h2o_socket_t *, const char *);
+static void watch_client(struct httpd_request *);
+static void unwatch_client(struct httpd_request *);
+static void notify_disconnect(struct httpd_request *);
+static void set_response_head(
     struct httpd_request *, int, const struct httpd_header *, size_t);
-static void push(struct httpd_request *);
+static void send_queued(struct httpd_request *);
 static const char *reason_phrase(int);
 
 int
@@ -52,19 +51,19 @@
 	r->req = req;
 	r->generator.proceed = on_proceed;
 	r->generator.stop = on_stop;
-	watch_caller(r);
+	watch_client(r);
 	h->handler(r, h->ctx);
 	return 0;
 }
 
 /*
- * h2o stops reading from an HTTP/1 connection while a request is handled, so
- * a caller that left would be noticed only when the answer is written: its
- * work would go on for nobody.  We read meanwhile; bytes of a next request
- * stay in the socket's buffer, where h2o finds them.
+ * h2o stops reading from an HTTP/1 connection while a request is handled, so a
+ * disconnect would be noticed only when the response is written, and the work
+ * would continue for nobody.  So read meanwhile; bytes of the next request stay
+ * in the socket's buffer, where h2o finds them.
  */
 static void
-watch_caller(struct httpd_request *r)
+watch_client(struct httpd_request *r)
 {
 	h2o_conn_t *conn;
 	struct httpd *h;
@@ -76,11 +75,11 @@
 	LIST_INSERT_HEAD(&h->watched, r, link);
 	r->watched = true;
 	h2o_socket_read_start(
-	    conn->callbacks->get_socket(conn), on_caller_data);
+	    conn->callbacks->get_socket(conn), on_client_data);
 }
 
 static void
-unwatch_caller(struct httpd_request *r)
+unwatch_client(struct httpd_request *r)
 {
 	h2o_conn_t *conn;
 
@@ -138,7 +137,7 @@
 	ssize_t at;
 
 	if (strcmp(name, "host") == 0) {
-		/* h2o keeps it apart from the other headers. */
+		/* h2o doesn't store it with the other headers. */
 		value = r->req->authority;
 		return h2o_strdup(&r->req->pool, value.base, value.len).base;
 	}
@@ -151,10 +150,10 @@
 
 void
 httpd_on_disconnect(
-    struct httpd_request *r, httpd_disconnected *on_gone, void *ctx)
+    struct httpd_request *r, httpd_disconnected *on_disconnect, void *ctx)
 {
-	r->on_gone = on_gone;
-	r->gone_ctx = ctx;
+	r->on_disconnect = on_disconnect;
+	r->disconnect_ctx = ctx;
 }
 
 static const char *
@@ -170,7 +169,7 @@
 }
 
 static void
-start_answer(struct httpd_request *r, int status,
+set_response_head(struct httpd_request *r, int status,
     const struct httpd_header *headers, size_t nheaders)
 {
 	h2o_iovec_t name, value;
@@ -196,10 +195,10 @@
 {
 	h2o_iovec_t copy;
 
-	unwatch_caller(r);
-	start_answer(r, status, headers, nheaders);
+	unwatch_client(r);
+	set_response_head(r, status, headers, nheaders);
 	r->req->res.content_length = len;
-	r->state = ANSWER_COMPLETE;
+	r->state = RESPONSE_COMPLETE;
 	copy = h2o_strdup(&r->req->pool, body == NULL ? "" : body, len);
 	h2o_start_response(r->req, &r->generator);
 	h2o_send(r->req, &copy, 1, H2O_SEND_STATE_FINAL);
@@ -209,8 +208,8 @@
 httpd_begin(struct httpd_request *r, int status,
     const struct httpd_header *headers, size_t nheaders)
 {
-	start_answer(r, status, headers, nheaders);
-	r->state = ANSWER_STREAMING;
+	set_response_head(r, status, headers, nheaders);
+	r->state = RESPONSE_STREAMING;
 	h2o_start_response(r->req, &r->generator);
 }
 
@@ -218,57 +217,57 @@
 httpd_send(struct httpd_request *r, const void *data, size_t len)
 {
 	size_t size;
-	char *grown;
+	char *new_queue;
 
-	if (r->state != ANSWER_STREAMING || r->ending || len == 0)
+	if (r->state != RESPONSE_STREAMING || r->ending || len == 0)
 		return;
 	if (r->queued_len + len > r->queued_size) {
 		size = (r->queued_len + len) * 2;
-		if ((grown = realloc(r->queued, size)) == NULL) {
+		if ((new_queue = realloc(r->queued, size)) == NULL) {
 			httpd_abort(r);
 			return;
 		}
-		r->queued = grown;
+		r->queued = new_queue;
 		r->queued_size = size;
 	}
 	memcpy(r->queued + r->queued_len, data, len);
 	r->queued_len += len;
-	push(r);
+	send_queued(r);
 }
 
 void
 httpd_end(struct httpd_request *r)
 {
-	if (r->state != ANSWER_STREAMING || r->ending)
+	if (r->state != RESPONSE_STREAMING || r->ending)
 		return;
 	r->ending = true;
-	push(r);
+	send_queued(r);
 }
 
 void
 httpd_abort(struct httpd_request *r)
 {
-	if (r->state == ANSWER_COMPLETE || r->ending)
+	if (r->state == RESPONSE_COMPLETE || r->ending)
 		return;
 	/*
-	 * Without a status line h2o sends nothing and keeps the connection, and
-	 * the caller would wait until its own timeout.  A status with a broken
-	 * body makes h2o close it, or reset the stream.
+	 * Without a status line h2o sends nothing and keeps the connection
+	 * open, and the client would wait until its own timeout.  A status with
+	 * an aborted body makes h2o close it, or reset the stream.
 	 */
-	if (r->state == ANSWER_NONE)
-		httpd_begin(r, STATUS_BROKEN, NULL, 0);
+	if (r->state == RESPONSE_NONE)
+		httpd_begin(r, STATUS_BAD_GATEWAY, NULL, 0);
 	r->ending = true;
 	r->aborting = true;
 	r->queued_len = 0;
-	push(r);
+	send_queued(r);
 }
 
-/* Hand h2o what is queued, unless it still has a piece. */
+/* Passes the queued data to h2o, unless a chunk is still in flight. */
 static void
-push(struct httpd_request *r)
+send_queued(struct httpd_request *r)
 {
 	h2o_send_state_t state;
-	h2o_iovec_t piece;
+	h2o_iovec_t chunk;
 
 	if (r->finished || r->sending || (r->queued_len == 0 && !r->ending))
 		return;
@@ -278,17 +277,17 @@
 		    r->aborting ? H2O_SEND_STATE_ERROR : H2O_SEND_STATE_FINAL;
 	free(r->in_flight);
 	r->in_flight = r->queued;
-	piece = h2o_iovec_init(r->in_flight, r->queued_len);
+	chunk = h2o_iovec_init(r->in_flight, r->queued_len);
 	r->queued = NULL;
 	r->queued_len = 0;
 	r->queued_size = 0;
 	r->sending = true;
 	if (r->ending) {
 		r->finished = true;
-		r->state = ANSWER_COMPLETE;
-		unwatch_caller(r);
+		r->state = RESPONSE_COMPLETE;
+		unwatch_client(r);
 	}
-	h2o_send(r->req, &piece, piece.len == 0 ? 0 : 1, state);
+	h2o_send(r->req, &chunk, chunk.len == 0 ? 0 : 1, state);
 }
 
 static void
@@ -299,33 +298,33 @@
 	(void)req;
 	r = (struct httpd_request *)generator;
 	r->sending = false;
-	if (r->state == ANSWER_STREAMING || r->aborting)
-		push(r);
+	if (r->state == RESPONSE_STREAMING || r->aborting)
+		send_queued(r);
 }
 
 static void
 on_stop(h2o_generator_t *generator, h2o_req_t *req)
 {
 	(void)req;
-	tell_gone((struct httpd_request *)generator);
+	notify_disconnect((struct httpd_request *)generator);
 }
 
 static void
-tell_gone(struct httpd_request *r)
+notify_disconnect(struct httpd_request *r)
 {
-	httpd_disconnected *on_gone;
+	httpd_disconnected *on_disconnect;
 
-	if (r->state == ANSWER_COMPLETE)
+	if (r->state == RESPONSE_COMPLETE)
 		return;
-	r->state = ANSWER_COMPLETE;
-	on_gone = r->on_gone;
-	r->on_gone = NULL;
-	if (on_gone != NULL)
-		on_gone(r, r->gone_ctx);
+	r->state = RESPONSE_COMPLETE;
+	on_disconnect = r->on_disconnect;
+	r->on_disconnect = NULL;
+	if (on_disconnect != NULL)
+		on_disconnect(r, r->disconnect_ctx);
 }
 
 static void
-on_caller_data(h2o_socket_t *sock, const char *error)
+on_client_data(h2o_socket_t *sock, const char *error)
 {
 	struct httpd_request *r;
 	h2o_conn_t *conn;
@@ -342,18 +341,18 @@
 	}
 	if (r == NULL)
 		return;
-	unwatch_caller(r);
-	streaming = r->state == ANSWER_STREAMING;
-	tell_gone(r);
+	unwatch_client(r);
+	streaming = r->state == RESPONSE_STREAMING;
+	notify_disconnect(r);
 	if (!streaming) {
-		/* The write fails and makes h2o close the connection. */
-		httpd_reply(r, STATUS_GONE, NULL, 0, NULL, 0);
+		/* The write fails, which makes h2o close the connection. */
+		httpd_reply(r, STATUS_CLIENT_CLOSED, NULL, 0, NULL, 0);
 		return;
 	}
 	r->ending = true;
 	r->aborting = true;
 	r->queued_len = 0;
-	push(r);
+	send_queued(r);
 }
 
 static void
@@ -366,7 +365,7 @@
 		r->watched = false;
 		LIST_REMOVE(r, link);
 	}
-	tell_gone(r);
+	notify_disconnect(r);
 	free(r->queued);
 	free(r->in_flight);
 }
--- a/lib/log.h
+++ b/lib/log.h
@@ -2,9 +2,10 @@
 #define LOG_H
 
 /*
- * One line of key=value pairs for each event, on standard error:
- *	time=2026-12-02T17:45:35.123Z level=info event=task_started job=j1
- *task=3
+ * Structured log: each event is one line of key=value pairs, by default on
+ * standard error, such as
+ *
+ * time=2026-12-02T17:45:35.123Z level=info event=task_started job=j1 task=3
  */
 
 enum log_level {
@@ -14,29 +15,29 @@
 	LOG_LEVEL_DEBUG
 };
 
-/* Events above this level are left out; the default is info. */
+/* Don't log events above this level; the default is info. */
 void log_set_level(enum log_level);
 
-/* Parse "error", "warn", "info" or "debug"; -1 when it is none of them. */
+/* Parse "error", "warn", "info" or "debug"; -1 for any other string. */
 int log_parse_level(const char *, enum log_level *);
 
-/* Lines go to standard output; the default is standard error. */
+/* Log to standard output instead of standard error. */
 void log_to_stdout(void);
 
-/* A pair that every line carries after the event, such as entry=e1. */
+/* Set a pair that follows the event in every line, such as entry=e1. */
 void log_set_identity(const char *key, const char *value);
 
 /*
- * Write one event.  The format yields further key=value pairs separated by
- * blanks, or is "".  A value that may hold blanks or comes from outside is
- * passed through log_quote() first.
+ * Log one event.  The format yields further key=value pairs separated by
+ * blanks, or is "".  Values that may contain blanks or come from outside the
+ * process must be passed through log_quote() first.
  */
 void log_event(enum log_level, const char *event, const char *fmt, ...)
     __attribute__((format(printf, 3, 4)));
 
 /*
- * Quote a value for a pair: blanks, quotes and control characters cannot
- * break the line.  Returns buf.
+ * Quote a value: escapes quotes and backslashes, replaces control characters by
+ * '?' and truncates the value to the buffer.  Returns buf.
  */
 const char *log_quote(const char *value, char *buf, unsigned long size);
 
--- a/lib/peer.c
+++ b/lib/peer.c
@@ -13,7 +13,7 @@
 #define ID_MAX 64
 #define ADDRESS_MAX 64
 #define URL_MAX (ADDRESS_MAX + sizeof("tcp://"))
-#define READ_MAX 256 /* messages in one round of the loop */
+#define READ_MAX 256 /* messages per loop iteration */
 #define RECONNECT_MS 100
 #define RECONNECT_MAX_MS 5000
 
@@ -33,16 +33,16 @@
 	int port;
 	int open_handles;
 	uv_poll_t poll;
-	uv_timer_t again;
+	uv_timer_t read_timer;
 };
 
-static int set_int(void *, int, int);
-static int set_common(const struct peer *, void *);
+static int set_option(void *, int, int);
+static int set_socket_options(const struct peer *, void *);
 static enum peer_error check_address(const char *);
 static enum peer_error bind_socket(struct peer *);
-static enum peer_error watch_socket(struct peer *);
+static enum peer_error poll_socket(struct peer *);
 static void on_readable(uv_poll_t *, int, int);
-static void on_again(uv_timer_t *);
+static void on_read_timer(uv_timer_t *);
 static void read_messages(struct peer *);
 static void on_closed(uv_handle_t *);
 static struct link *link_find(struct peer *, const char *);
@@ -50,38 +50,40 @@
 static void free_peer(struct peer *);
 
 static int
-set_int(void *socket, int option, int value)
+set_option(void *socket, int option, int value)
 {
 	return zmq_setsockopt(socket, option, &value, sizeof(value));
 }
 
 /*
- * Keep-alive and ZMTP heartbeats end a connection whose other side vanished
- * without a word; otherwise messages would go into it until TCP gives up.
+ * TCP keepalive and ZMTP heartbeats close a connection whose peer disappeared
+ * without closing it; otherwise messages would be sent on it until TCP times
+ * out.
  */
 static int
-set_common(const struct peer *p, void *socket)
+set_socket_options(const struct peer *p, void *socket)
 {
 	const struct peer_options *o = &p->options;
 	int64_t message_max;
 
 	message_max = (int64_t)o->message_max;
-	if (set_int(socket, ZMQ_LINGER, 0) == -1 ||
-	    set_int(socket, ZMQ_SNDHWM, o->queue_max) == -1 ||
-	    set_int(socket, ZMQ_RCVHWM, o->queue_max) == -1 ||
+	if (set_option(socket, ZMQ_LINGER, 0) == -1 ||
+	    set_option(socket, ZMQ_SNDHWM, o->queue_max) == -1 ||
+	    set_option(socket, ZMQ_RCVHWM, o->queue_max) == -1 ||
 	    zmq_setsockopt(socket, ZMQ_MAXMSGSIZE, &message_max,
 		sizeof(message_max)) == -1)
 		return -1;
 	if (o->keepalive_s > 0 &&
-	    (set_int(socket, ZMQ_TCP_KEEPALIVE, 1) == -1 ||
-		set_int(socket, ZMQ_TCP_KEEPALIVE_IDLE, o->keepalive_s) == -1))
+	    (set_option(socket, ZMQ_TCP_KEEPALIVE, 1) == -1 ||
+		set_option(socket, ZMQ_TCP_KEEPALIVE_IDLE, o->keepalive_s) ==
+		    -1))
 		return -1;
 	if (o->retransmit_ms > 0 &&
-	    set_int(socket, ZMQ_TCP_MAXRT, o->retransmit_ms) == -1)
+	    set_option(socket, ZMQ_TCP_MAXRT, o->retransmit_ms) == -1)
 		return -1;
 	if (o->heartbeat_ms > 0 &&
-	    (set_int(socket, ZMQ_HEARTBEAT_IVL, o->heartbeat_ms) == -1 ||
-		set_int(socket, ZMQ_HEARTBEAT_TIMEOUT,
+	    (set_option(socket, ZMQ_HEARTBEAT_IVL, o->heartbeat_ms) == -1 ||
+		set_option(socket, ZMQ_HEARTBEAT_TIMEOUT,
 		    o->heartbeat_timeout_ms) == -1))
 		return -1;
 	return 0;
@@ -116,7 +118,7 @@
 	if (uv_ip4_addr(p->options.ip, p->options.port, &sin) != 0)
 		return PEER_ERR_ADDRESS;
 	if ((p->in = zmq_socket(p->context, ZMQ_PULL)) == NULL ||
-	    set_common(p, p->in) == -1)
+	    set_socket_options(p, p->in) == -1)
 		return PEER_ERR_SOCKET;
 	n = snprintf(
 	    url, sizeof(url), "tcp://%s:%d", p->options.ip, p->options.port);
@@ -132,7 +134,7 @@
 }
 
 static enum peer_error
-watch_socket(struct peer *p)
+poll_socket(struct peer *p)
 {
 	size_t len;
 	int fd;
@@ -143,13 +145,13 @@
 		return PEER_ERR_SOCKET;
 	p->poll.data = p;
 	p->open_handles++;
-	uv_timer_init(p->options.loop, &p->again);
-	p->again.data = p;
+	uv_timer_init(p->options.loop, &p->read_timer);
+	p->read_timer.data = p;
 	p->open_handles++;
 	if (uv_poll_start(&p->poll, UV_READABLE, on_readable) != 0)
 		return PEER_ERR_SOCKET;
-	/* What came in before the watch began gives no further edge. */
-	uv_timer_start(&p->again, on_again, 0, 0);
+	/* Messages received before the poll started cause no further event. */
+	uv_timer_start(&p->read_timer, on_read_timer, 0, 0);
 	return PEER_OK;
 }
 
@@ -167,7 +169,7 @@
 		goto fail;
 	if ((*error = bind_socket(p)) != PEER_OK)
 		goto fail;
-	if ((*error = watch_socket(p)) != PEER_OK)
+	if ((*error = poll_socket(p)) != PEER_OK)
 		goto fail;
 	return p;
 
@@ -185,15 +187,15 @@
 }
 
 static void
-on_again(uv_timer_t *timer)
+on_read_timer(uv_timer_t *timer)
 {
 	read_messages(timer->data);
 }
 
 /*
- * The descriptor is edge-triggered: messages left unread give no further
- * event and would wait until the next one happens to come.  So this reads
- * until none is left, or comes back at once after other work had its turn.
+ * The descriptor is edge-triggered: unread messages cause no further event and
+ * would wait until the next one arrives.  So this reads until none is left, or
+ * for READ_MAX messages and again in the next loop iteration.
  */
 static void
 read_messages(struct peer *p)
@@ -209,7 +211,7 @@
 				continue;
 			return;
 		}
-		/* One part only: anything else isn't from an entry. */
+		/* Entries send single-part messages only. */
 		if (zmq_msg_more(&message))
 			counter_inc_reason(
 			    "lagoonpin_peer_refused", "multipart");
@@ -220,7 +222,7 @@
 		if (uv_is_closing((uv_handle_t *)&p->poll))
 			return;
 	}
-	uv_timer_start(&p->again, on_again, 0, 0);
+	uv_timer_start(&p->read_timer, on_read_timer, 0, 0);
 }
 
 static void
@@ -248,7 +250,7 @@
 	free(p);
 }
 
-/* The descriptor is ZeroMQ's: the watch must end before the socket does. */
+/* ZeroMQ owns the descriptor: the poll must end before the socket closes. */
 void
 peer_close(struct peer *p)
 {
@@ -260,7 +262,7 @@
 	}
 	uv_close((uv_handle_t *)&p->poll, on_closed);
 	if (p->open_handles > 1)
-		uv_close((uv_handle_t *)&p->again, on_closed);
+		uv_close((uv_handle_t *)&p->read_timer, on_closed);
 }
 
 int
@@ -309,11 +311,11 @@
 	snprintf(url, sizeof(url), "tcp://%s", address);
 	if ((link->socket = zmq_socket(p->context, ZMQ_PUSH)) == NULL)
 		goto fail;
-	/* With IMMEDIATE nothing is queued for a peer that isn't there. */
-	if (set_common(p, link->socket) == -1 ||
-	    set_int(link->socket, ZMQ_IMMEDIATE, 1) == -1 ||
-	    set_int(link->socket, ZMQ_RECONNECT_IVL, RECONNECT_MS) == -1 ||
-	    set_int(link->socket, ZMQ_RECONNECT_IVL_MAX, RECONNECT_MAX_MS) ==
+	/* With IMMEDIATE nothing is queued for a peer that isn't connected. */
+	if (set_socket_options(p, link->socket) == -1 ||
+	    set_option(link->socket, ZMQ_IMMEDIATE, 1) == -1 ||
+	    set_option(link->socket, ZMQ_RECONNECT_IVL, RECONNECT_MS) == -1 ||
+	    set_option(link->socket, ZMQ_RECONNECT_IVL_MAX, RECONNECT_MAX_MS) ==
 		-1 ||
 	    zmq_connect(link->socket, url) == -1)
 		goto fail;
