--- a/lib/job.c
+++ b/lib/job.c
@@ -36,8 +36,10 @@
     const json_t *, struct job *, bool, struct job_fault *);
 static enum job_error get_payload(
     const json_t *, struct job *, struct job_fault *);
-static enum job_error get_1(json_t *, struct job *, struct job_fault *);
-static enum job_error get_2(json_t *, struct job *, struct job_fault *);
+static enum job_error parse_schema_1(
+    json_t *, struct job *, struct job_fault *);
+static enum job_error parse_schema_2(
+    json_t *, struct job *, struct job_fault *);
 
 static enum job_error
 fail(struct job_fault *fault, enum job_error error, const char *field)
@@ -80,7 +82,7 @@
 	return JOB_OK;
 }
 
-/* def NULL: the field is required. */
+/* The field is required if def is NULL. */
 static enum job_error
 get_number(const json_t *o, const char *name, int64_t min, int64_t max,
     const int64_t *def, int64_t *out, struct job_fault *fault)
@@ -100,7 +102,7 @@
 	return JOB_OK;
 }
 
-/* A field left out stands for the first word. */
+/* A missing field has the value of the first word. */
 static enum job_error
 get_word(const json_t *o, const char *name, const char *const *words, int *out,
     struct job_fault *fault)
@@ -181,7 +183,7 @@
 }
 
 static enum job_error
-get_1(json_t *o, struct job *job, struct job_fault *fault)
+parse_schema_1(json_t *o, struct job *job, struct job_fault *fault)
 {
 	enum job_error error;
 
@@ -194,7 +196,7 @@
 }
 
 static enum job_error
-get_2(json_t *o, struct job *job, struct job_fault *fault)
+parse_schema_2(json_t *o, struct job *job, struct job_fault *fault)
 {
 	static const int64_t unset = JOB_EVICTIONS_UNSET;
 	json_t *resources;
@@ -245,8 +247,8 @@
 		error = fail(fault, JOB_ERR_SCHEMA, "schema");
 	else {
 		job->schema = (int)schema;
-		error = schema == 1 ? get_1(root, job, fault) :
-				      get_2(root, job, fault);
+		error = schema == 1 ? parse_schema_1(root, job, fault) :
+				      parse_schema_2(root, job, fault);
 	}
 	json_decref(root);
 	if (error != JOB_OK)
--- a/lib/job.h
+++ b/lib/job.h
@@ -8,15 +8,15 @@
 #include "room.h"
 
 /*
- * Job records, in schema 1 or 2.  Both become one struct and go back to text
- * in the version that the operator used.  Unknown schemas and fields, wrong
- * types and values out of range are refused, naming the field.
+ * Job records, in schema 1 or 2.  Both are parsed into one struct and written
+ * back in the schema of the original record.  Unknown schemas and fields, wrong
+ * types and values out of range are rejected with the name of the field.
  */
 
-#define JOB_NAME_SIZE 64 /* bytes of an id or a team with its NUL */
+#define JOB_NAME_SIZE 64 /* bytes of an id or a team, including the NUL */
 #define JOB_TASKS_MAX 100000
-#define JOB_TEXT_MAX (256 << 10) /* bytes of a record, payload included */
-#define JOB_EVICTIONS_UNSET (-1) /* the policy's limit holds */
+#define JOB_TEXT_MAX (256 << 10) /* bytes of a record with its payload */
+#define JOB_EVICTIONS_UNSET (-1) /* the limit of the policy applies */
 
 enum job_spread { JOB_SPREAD_NONE, JOB_SPREAD_RACK, JOB_SPREAD_DATA_CENTER };
 
@@ -35,27 +35,30 @@
 
 enum job_error {
 	JOB_OK,
-	JOB_ERR_TOO_LARGE, /* the text is over JOB_TEXT_MAX */
-	JOB_ERR_JSON, /* not JSON, or a field twice */
+	JOB_ERR_TOO_LARGE, /* the text is longer than JOB_TEXT_MAX */
+	JOB_ERR_JSON, /* not JSON, or a duplicate field */
 	JOB_ERR_SCHEMA, /* missing or unknown */
 	JOB_ERR_UNKNOWN_FIELD,
 	JOB_ERR_MISSING_FIELD,
-	JOB_ERR_VALUE, /* of a wrong type, out of range, or no such word */
+	JOB_ERR_VALUE, /* wrong type, out of range, or not an allowed word */
 	JOB_ERR_MEMORY
 };
 
 struct job_fault {
-	char field[64]; /* "" when no field is meant */
+	char field[64]; /* "" if the error concerns no single field */
 };
 
-/* On JOB_OK job_free() must follow; else *job is empty. */
+/* On JOB_OK the caller must call job_free(); on an error *job is zeroed. */
 enum job_error job_parse(
     const char *text, size_t len, struct job *job, struct job_fault *);
 void job_free(struct job *);
-/* The record in its own schema; the caller frees it.  NULL: no memory. */
+/*
+ * Returns the record as JSON in its own schema, to be freed by the caller, or
+ * NULL if out of memory.
+ */
 char *job_text(const struct job *);
 
-/* A fixed word for each error, used in answers and counters. */
+/* Returns a fixed word for each error, for responses and counters. */
 const char *job_strerror(enum job_error);
 
 #endif /* JOB_H */
--- a/lib/jsonfield.c
+++ b/lib/jsonfield.c
@@ -3,12 +3,12 @@
 
 #include "jsonfield.h"
 
-/* Up to here each whole number has a double of its own. */
+/* A double represents every integer up to this one exactly. */
 #define EXACT_MAX 9007199254740992.0 /* 2^53 */
 
-/* A real number that is whole, such as 3.0. */
+/* Converts a real number without a fraction, such as 3.0. */
 static bool
-whole_real(double real, int64_t *value)
+real_to_int64(double real, int64_t *value)
 {
 	if (!(fabs(real) <= EXACT_MAX) || floor(real) != real)
 		return false;
@@ -24,7 +24,7 @@
 	if (json_is_integer(field))
 		number = json_integer_value(field);
 	else if (!json_is_real(field) ||
-	    !whole_real(json_real_value(field), &number))
+	    !real_to_int64(json_real_value(field), &number))
 		return false;
 	if (number < min || number > max)
 		return false;
--- a/lib/ledger_json.c
+++ b/lib/ledger_json.c
@@ -27,7 +27,7 @@
     const json_t *, const char *, bool, uint32_t *, struct ledger_fault *);
 static bool get_flag(
     const json_t *, const char *, bool *, struct ledger_fault *);
-static bool fault_at(struct ledger_fault *, const char *);
+static bool set_fault(struct ledger_fault *, const char *);
 static bool get_state(
     const json_t *, struct task_record *, struct ledger_fault *);
 static bool get_task(
@@ -49,7 +49,7 @@
     const json_t *, struct inbox_item *, struct ledger_fault *);
 
 static bool
-fault_at(struct ledger_fault *fault, const char *field)
+set_fault(struct ledger_fault *fault, const char *field)
 {
 	strlcpy(fault->field, field, sizeof(fault->field));
 	return false;
@@ -63,13 +63,13 @@
 
 	if ((v = json_object_get(o, name)) == NULL) {
 		buf[0] = '\0';
-		return required ? fault_at(fault, name) : true;
+		return required ? set_fault(fault, name) : true;
 	}
 	if (!json_is_string(v) ||
 	    strlcpy(buf, json_string_value(v), size) >= size)
-		return fault_at(fault, name);
+		return set_fault(fault, name);
 	if (required && buf[0] == '\0')
-		return fault_at(fault, name);
+		return set_fault(fault, name);
 	return true;
 }
 
@@ -81,12 +81,12 @@
 
 	*out = 0;
 	if ((v = json_object_get(o, name)) == NULL)
-		return required ? fault_at(fault, name) : true;
+		return required ? set_fault(fault, name) : true;
 	if (!json_is_integer(v))
-		return fault_at(fault, name);
+		return set_fault(fault, name);
 	*out = json_integer_value(v);
 	if (*out < min || *out > max)
-		return fault_at(fault, name);
+		return set_fault(fault, name);
 	return true;
 }
 
@@ -111,7 +111,7 @@
 	v = json_object_get(o, name);
 	*out = json_is_true(v);
 	if (v != NULL && !json_is_boolean(v))
-		return fault_at(fault, name);
+		return set_fault(fault, name);
 	return true;
 }
 
@@ -127,12 +127,12 @@
 		if (strcmp(name, state_names[i]) != 0)
 			continue;
 		r->state = (enum task_state)i;
-		/* Only a task that is bound has a worker. */
+		/* All tasks but the pending ones have a worker. */
 		if ((r->state == TASK_PENDING) != (r->worker[0] == '\0'))
-			return fault_at(fault, "worker");
+			return set_fault(fault, "worker");
 		return true;
 	}
-	return fault_at(fault, "state");
+	return set_fault(fault, "state");
 }
 
 static bool
@@ -188,7 +188,7 @@
 	list = json_object_get(root, "tasks");
 	n = json_array_size(list);
 	if (!json_is_array(list) || n > TASKS_MAX) {
-		fault_at(fault, "tasks");
+		set_fault(fault, "tasks");
 		return LEDGER_JSON_ERR_FIELD;
 	}
 	doc->tasks = calloc(n + 1, sizeof(*doc->tasks));
@@ -213,7 +213,7 @@
 	list = json_object_get(root, "jobs");
 	n = json_array_size(list);
 	if (!json_is_array(list) || n > TASKS_MAX) {
-		fault_at(fault, "jobs");
+		set_fault(fault, "jobs");
 		return LEDGER_JSON_ERR_FIELD;
 	}
 	if ((doc->jobs = calloc(n + 1, sizeof(*doc->jobs))) == NULL)
@@ -377,7 +377,7 @@
 	list = json_object_get(o, "jobs");
 	n = json_array_size(list);
 	if (!json_is_array(list) || n > TASKS_MAX) {
-		fault_at(fault, "jobs");
+		set_fault(fault, "jobs");
 		return LEDGER_JSON_ERR_FIELD;
 	}
 	if ((item->jobs = calloc(n + 1, sizeof(*item->jobs))) == NULL)
@@ -388,7 +388,7 @@
 		if (!json_is_string(id) ||
 		    strlcpy(item->jobs[item->njobs], json_string_value(id),
 			LEDGER_ID_MAX) >= LEDGER_ID_MAX) {
-			fault_at(fault, "jobs");
+			set_fault(fault, "jobs");
 			return LEDGER_JSON_ERR_FIELD;
 		}
 	}
@@ -414,7 +414,7 @@
 		    LEDGER_JSON_ERR_FIELD;
 	}
 	if (strcmp(kind, "job") != 0) {
-		fault_at(fault, "kind");
+		set_fault(fault, "kind");
 		return LEDGER_JSON_ERR_FIELD;
 	}
 	item->kind = INBOX_JOB;
--- a/lib/ledger_json.h
+++ b/lib/ledger_json.h
@@ -8,27 +8,27 @@
 #include "ledger.h"
 
 /*
- * The JSON text of a shard's ledger record and of the items in a shard's
- * inbox.  What doesn't parse whole is refused with the name of the field, and
- * nothing of it is used: half a ledger would lose tasks.
+ * JSON encoding of a shard's ledger record and of the items in a shard's
+ * inbox.  A record with any invalid field is rejected as a whole with the name
+ * of the field: using part of a ledger would lose tasks.
  */
 
 #define LEDGER_SCHEMA 1
 
 enum ledger_json_error {
 	LEDGER_JSON_OK,
-	LEDGER_JSON_ERR_JSON, /* not JSON, or a field twice */
-	LEDGER_JSON_ERR_SCHEMA, /* a version that this program doesn't know */
+	LEDGER_JSON_ERR_JSON, /* not JSON, or a duplicate field */
+	LEDGER_JSON_ERR_SCHEMA, /* unknown schema version */
 	LEDGER_JSON_ERR_FIELD, /* missing, of a wrong type or out of range */
 	LEDGER_JSON_ERR_MEMORY
 };
 
 struct ledger_fault {
-	char field[48]; /* as "tasks.attempt", or "" */
-	size_t index; /* of the task or job it is in */
+	char field[48]; /* such as "attempt", or "" */
+	size_t index; /* of the task or job that holds the field */
 };
 
-/* A record, parsed. */
+/* A parsed record. */
 struct ledger_doc {
 	struct ledger_head head;
 	struct task_record *tasks;
@@ -41,18 +41,24 @@
     const char *text, size_t len, struct ledger_doc *, struct ledger_fault *);
 void ledger_doc_free(struct ledger_doc *);
 
-/* Write a record: open, add what it holds, close.  NULL: no memory. */
+/*
+ * Writes a record: open, add the tasks and jobs, close.  Returns NULL if out
+ * of memory.
+ */
 struct ledger_text;
 struct ledger_text *ledger_text_open(const struct ledger_head *);
 void ledger_text_task(struct ledger_text *, const struct task_record *);
 void ledger_text_job(struct ledger_text *, const struct ledger_job *);
-/* The text, freed by the caller, or NULL without memory at any step. */
+/*
+ * Returns the text, to be freed by the caller, or NULL if any step ran out of
+ * memory.  Frees the writer.
+ */
 char *ledger_text_close(struct ledger_text *);
 
 enum inbox_kind {
-	INBOX_JOB, /* count tasks of a job from first on */
-	INBOX_TASK, /* a task from another shard */
-	INBOX_CANCEL /* every task of the jobs */
+	INBOX_JOB, /* count tasks of a job, starting at index first */
+	INBOX_TASK, /* a task moved from another shard */
+	INBOX_CANCEL /* cancels all tasks of the jobs */
 };
 
 struct inbox_item {
@@ -68,7 +74,7 @@
 enum ledger_json_error inbox_item_parse(
     const char *text, size_t len, struct inbox_item *, struct ledger_fault *);
 void inbox_item_free(struct inbox_item *);
-/* The text, freed by the caller; NULL: no memory. */
+/* Returns the text, to be freed by the caller, or NULL if out of memory. */
 char *inbox_item_text(const struct inbox_item *);
 
 const char *ledger_json_strerror(enum ledger_json_error);
--- a/lib/record.c
+++ b/lib/record.c
@@ -12,7 +12,7 @@
     const char *, const char *);
 static int64_t get(const struct record *, const struct schema_field *);
 static void set(struct record *, const struct schema_field *, int64_t);
-static bool check_known(
+static bool check_fields(
     const struct schema *, const char *, json_t *, struct record_fault *);
 static bool read_word(const struct schema_field *, json_t *, struct record *,
     struct record_fault *);
@@ -69,7 +69,7 @@
 }
 
 static bool
-check_known(const struct schema *s, const char *group, json_t *object,
+check_fields(const struct schema *s, const char *group, json_t *object,
     struct record_fault *fault)
 {
 	const char *name;
@@ -83,7 +83,7 @@
 				    "must be an object");
 				return false;
 			}
-			if (!check_known(s, name, value, fault))
+			if (!check_fields(s, name, value, fault))
 				return false;
 		} else if (!schema_has_field(s, group, name)) {
 			set_fault(
@@ -205,12 +205,12 @@
 	}
 	r->kind = kind;
 	r->schema = (int)json_integer_value(version);
-	/* What a schema can't say has the meaning it always had. */
+	/* Defaults of fields that this schema doesn't have. */
 	if (kind == RECORD_SERVICE) {
 		r->as.service.slots_per_call = 1;
 		r->as.service.body_max = SCHEMA_BODY_DEFAULT;
 	}
-	if (!check_known(s, NULL, object, fault) ||
+	if (!check_fields(s, NULL, object, fault) ||
 	    !read_name(s, object, r, fault))
 		return false;
 	for (f = s->fields; f->name != NULL; f++) {
@@ -251,7 +251,7 @@
 	return fault->error;
 }
 
-/* Whether all that differs from the defaults has a field in the schema. */
+/* Whether the schema has a field for every value that is not the default. */
 static bool
 expressible(
     const struct record *r, const struct schema *to, struct record_fault *fault)
--- a/lib/refused.c
+++ b/lib/refused.c
@@ -5,14 +5,14 @@
 #include "log.h"
 #include "refused.h"
 
-/* Entries that are remembered; the oldest is forgotten, and logged again. */
+/* Keys kept; the oldest is dropped first and is logged again if read again. */
 #define ENTRIES_MAX 1024
-/* Bytes of a key as it is logged; the store takes keys up to 200. */
+/* Bytes of a quoted key in the log; keys in the store have up to 200 bytes. */
 #define QUOTED_MAX 512
 
 struct refused_entry {
 	TAILQ_ENTRY(refused_entry) link;
-	const char *reason; /* a literal */
+	const char *reason; /* static string */
 	char key[];
 };
 
@@ -60,7 +60,7 @@
 	size_t len;
 
 	len = strlen(key) + 1;
-	/* Without memory it is logged again when it is read again. */
+	/* If out of memory, the entry is logged again at the next read. */
 	if ((entry = malloc(sizeof(*entry) + len)) == NULL)
 		return;
 	memcpy(entry->key, key, len);
--- a/lib/refused.h
+++ b/lib/refused.h
@@ -6,25 +6,25 @@
 #include <stddef.h>
 
 /*
- * Entries of the store that can't be used, by their keys.  Lists are read
- * again every few seconds: without this memory one entry of another writer
- * would be logged and counted as often, and hide what is new.
+ * Keys of rejected store entries.  Lists are read again every few seconds;
+ * without this list, an invalid entry would be logged and counted on every
+ * read, and new ones would be lost among the repetitions.
  */
 
 struct refused_entry;
 TAILQ_HEAD(refused_list, refused_entry);
 
 struct refused {
-	struct refused_list list; /* the latest first */
+	struct refused_list list; /* most recent first */
 	size_t n;
-	const char *counter; /* raised by its reason for each new entry */
+	const char *counter; /* of new entries, labelled by reason */
 };
 
 void refused_init(struct refused *, const char *counter);
 void refused_free(struct refused *);
-/* Log and count it, unless the key was refused for that reason before. */
+/* Logs and counts a rejected entry, unless its key already has this reason. */
 void refused_note(struct refused *, const char *key, const char *reason);
-/* The key has an entry that can be used, or none any more. */
+/* Removes a key whose entry has become valid or was deleted. */
 void refused_clear(struct refused *, const char *key);
 
 #endif /* REFUSED_H */
--- a/lib/settings.c
+++ b/lib/settings.c
@@ -9,13 +9,13 @@
 #include "settings.h"
 #include "version.h"
 
-#define KEY_BASE 0x100 /* above every character, so there is no short flag */
+#define KEY_BASE 0x100 /* above every character: no short flags */
 #define TEXT_MAX 512
 #define PORT_MAX 65535
 
 struct parse {
 	const struct settings_options *options;
-	const char **texts; /* what the flags said, by index in the table */
+	const char **texts; /* values of the flags, by index in the table */
 	struct settings_args *args;
 };
 
@@ -26,9 +26,10 @@
 static enum settings_error set_string(const struct setting *, const char *);
 static enum settings_error set_word(const struct setting *, const char *);
 static enum settings_error set_bool(const struct setting *, const char *);
-static void refuse(const struct settings_options *, const struct setting *,
-    const char *, const char *) __attribute__((noreturn));
-static void take(
+static void exit_invalid(const struct settings_options *,
+    const struct setting *, const char *, const char *)
+    __attribute__((noreturn));
+static void load_setting(
     const struct settings_options *, const struct setting *, const char *flag);
 static char *make_help(const struct setting *);
 static struct argp_option *make_flags(const struct settings_options *);
@@ -105,7 +106,7 @@
 	enum settings_error error;
 
 	memset(&list, 0, sizeof(list));
-	/* An empty list only where the default is one. */
+	/* An empty list is valid only if it is the default. */
 	if (*text == '\0' && (s->def == NULL || *s->def != '\0'))
 		return SETTINGS_ERR_ADDRESS;
 	if (strlcpy(copy, text, sizeof(copy)) >= sizeof(copy))
@@ -235,8 +236,8 @@
 }
 
 static void
-refuse(const struct settings_options *o, const struct setting *s,
-    const char *text, const char *why)
+exit_invalid(const struct settings_options *o, const struct setting *s,
+    const char *text, const char *reason)
 {
 	char allowed[TEXT_MAX], where[TEXT_MAX];
 
@@ -250,13 +251,13 @@
 		    o->program, s->name, allowed, where);
 	else
 		fprintf(stderr, "%s: setting %s: \"%s\": %s: must be %s (%s)\n",
-		    o->program, s->name, text, why, allowed, where);
+		    o->program, s->name, text, reason, allowed, where);
 	exit(SETTINGS_EXIT);
 }
 
-/* The flag, else the variable, else the default. */
+/* Sets the value from the flag, the environment or the default. */
 static void
-take(
+load_setting(
     const struct settings_options *o, const struct setting *s, const char *flag)
 {
 	const char *text;
@@ -271,8 +272,8 @@
 	if (text == NULL) {
 		text = s->def;
 		if (text == NULL)
-			refuse(o, s, NULL, NULL);
-		/* An empty default of a string stands for "not given". */
+			exit_invalid(o, s, NULL, NULL);
+		/* An empty default bypasses the check: not set. */
 		if (*text == '\0' &&
 		    (s->kind == SETTING_STRING || s->kind == SETTING_IP)) {
 			*(const char **)s->value = text;
@@ -280,7 +281,7 @@
 		}
 	}
 	if ((error = settings_set(s, text)) != SETTINGS_OK)
-		refuse(o, s, text, settings_strerror(error));
+		exit_invalid(o, s, text, settings_strerror(error));
 }
 
 static char *
@@ -373,7 +374,7 @@
 		exit(SETTINGS_EXIT);
 	}
 	for (i = 0; i < o->n; i++)
-		take(o, &o->table[i], p.texts[i]);
+		load_setting(o, &o->table[i], p.texts[i]);
 	for (i = 0; i < o->n; i++)
 		free((char *)flags[i].doc);
 	free(flags);
--- a/lib/store.c
+++ b/lib/store.c
@@ -17,8 +17,8 @@
 
 static int copy_endpoints(struct store *, const struct store_options *);
 static void free_store(struct store *);
-static void on_wake(uv_timer_t *);
-static void on_wake_closed(uv_handle_t *);
+static void on_timer(uv_timer_t *);
+static void on_timer_closed(uv_handle_t *);
 static int64_t or_default(int64_t, int64_t);
 
 static const char *const call_names[] = { "range", "txn", "lease_grant",
@@ -38,7 +38,7 @@
 	if ((s = calloc(1, sizeof(*s))) == NULL)
 		return NULL;
 	TAILQ_INIT(&s->waiting);
-	TAILQ_INIT(&s->flying);
+	TAILQ_INIT(&s->in_flight);
 	TAILQ_INIT(&s->watches);
 	if (copy_endpoints(s, o) == -1)
 		goto fail;
@@ -59,8 +59,8 @@
 	s->tokens = o->calls_per_s;
 	s->tokens_ms = clock_now_ms();
 	s->last_answer_ms = INT64_MIN;
-	uv_timer_init(s->loop, &s->wake);
-	s->wake.data = s;
+	uv_timer_init(s->loop, &s->timer);
+	s->timer.data = s;
 	return s;
 
 fail:
@@ -83,7 +83,7 @@
 		if ((s->endpoints[i] = strdup(o->endpoints[i])) == NULL)
 			return -1;
 	}
-	/* The entries don't all begin with the same endpoint. */
+	/* Spread the entries over the endpoints. */
 	s->endpoint = o->seed % o->nendpoints;
 	return 0;
 }
@@ -109,18 +109,18 @@
 	s->closing = true;
 	store_watches_close(s);
 	store_calls_close(s);
-	uv_timer_stop(&s->wake);
-	uv_close((uv_handle_t *)&s->wake, on_wake_closed);
+	uv_timer_stop(&s->timer);
+	uv_close((uv_handle_t *)&s->timer, on_timer_closed);
 }
 
 static void
-on_wake_closed(uv_handle_t *handle)
+on_timer_closed(uv_handle_t *handle)
 {
 	free_store(handle->data);
 }
 
 static void
-on_wake(uv_timer_t *timer)
+on_timer(uv_timer_t *timer)
 {
 	store_tick(timer->data, clock_now_ms());
 }
@@ -133,8 +133,8 @@
 	if (!s->closing)
 		store_watches_tick(s, now_ms);
 	/*
-	 * libuv runs a timer again and again within one turn when its callback
-	 * sets it to 0, and never comes to its sockets.
+	 * With a timeout of 0 set in its callback, libuv would run the timer
+	 * repeatedly in one loop iteration and never poll its sockets.
 	 */
 	store_arm_timer(s, 1);
 }
@@ -151,13 +151,13 @@
 	if (watch_due_ms < due_ms)
 		due_ms = watch_due_ms;
 	if (due_ms == INT64_MAX) {
-		uv_timer_stop(&s->wake);
+		uv_timer_stop(&s->timer);
 		return;
 	}
 	delay_ms = due_ms - clock_now_ms();
 	if (delay_ms < least_ms)
 		delay_ms = least_ms;
-	uv_timer_start(&s->wake, on_wake, (uint64_t)delay_ms, 0);
+	uv_timer_start(&s->timer, on_timer, (uint64_t)delay_ms, 0);
 }
 
 bool
--- a/lib/store.h
+++ b/lib/store.h
@@ -11,13 +11,13 @@
 
 /*
  * Client of the platform's key-value service: the JSON gateway of the etcd v3
- * protocol.  Keys are text, values are bytes.  Reads are tried again within
- * their deadline; a write is sent once, and one whose answer was lost ends as
- * STORE_ERR_UNKNOWN, after which the caller must read back.
+ * protocol.  Keys are text, values are bytes.  Reads are retried within their
+ * deadline.  A write is sent once; if it was sent but its outcome is not
+ * known, it ends with STORE_ERR_UNKNOWN, and the caller must read back.
  *
- * Every callback comes from the loop, exactly once a call, never from within
- * the function that started the call.  What a result points to is valid only
- * during the callback.
+ * Every callback runs from the event loop, exactly once per call and never
+ * from within the function that started the call.  Data that a result points
+ * to is valid only during the callback.
  */
 
 struct store;
@@ -27,11 +27,11 @@
 	STORE_OK,
 	STORE_ERR_UNAVAILABLE, /* certainly not applied */
 	STORE_ERR_UNKNOWN, /* a write that may have been applied */
-	STORE_ERR_BUDGET, /* over calls_per_s: not sent */
-	STORE_ERR_REFUSED, /* the store called the request bad: not applied */
-	STORE_ERR_COMPACTED, /* the revision asked for is gone */
-	STORE_ERR_NO_LEASE, /* the lease has lapsed or never was */
-	STORE_ERR_MALFORMED, /* the answer to a read doesn't parse */
+	STORE_ERR_BUDGET, /* rate limit calls_per_s reached: not sent */
+	STORE_ERR_REFUSED, /* rejected by the store: not applied */
+	STORE_ERR_COMPACTED, /* the requested revision was compacted */
+	STORE_ERR_NO_LEASE, /* the lease expired or never existed */
+	STORE_ERR_MALFORMED, /* the response to a read doesn't parse */
 	STORE_ERR_CANCELLED, /* store_close: not applied */
 	STORE_ERR_MEMORY /* not sent */
 };
@@ -42,40 +42,40 @@
 	const char *const *endpoints; /* base URLs: http://IP:PORT */
 	size_t nendpoints;
 	int64_t connect_timeout_ms; /* 0: 500 */
-	int64_t call_timeout_ms; /* one try; 0: 2000 */
-	int64_t read_deadline_ms; /* all tries of a read; 0: 5000 */
-	int64_t watch_idle_ms; /* a silent watch is opened anew; 0: 60000 */
+	int64_t call_timeout_ms; /* of one attempt; 0: 2000 */
+	int64_t read_deadline_ms; /* of all attempts of a read; 0: 5000 */
+	int64_t watch_idle_ms; /* a silent watch is reopened; 0: 60000 */
 	int64_t reachable_ms; /* for store_reachable; 0: 6000 */
 	int64_t backoff_base_ms; /* 0: 50 */
 	int64_t backoff_max_ms; /* 0: 2000 */
-	double calls_per_s; /* budget; 0: none */
-	unsigned long seed; /* of the jitter */
+	double calls_per_s; /* rate limit; 0: none */
+	unsigned long seed; /* of the backoff jitter */
 };
 
-/* NULL without memory. */
+/* Returns NULL if out of memory or without endpoints. */
 struct store *store_open(const struct store_options *);
 /*
- * Ends every call and watch (calls with STORE_ERR_CANCELLED, or
- * STORE_ERR_UNKNOWN for a write under way).  The loop must run once more.
- * Allowed in callbacks.
+ * Ends all watches, and all calls with STORE_ERR_CANCELLED, or with
+ * STORE_ERR_UNKNOWN for a write already sent.  The loop must run once more to
+ * free the store.  May be called from callbacks.
  */
 void store_close(struct store *);
 const char *store_strerror(enum store_error);
 
-/* The time of the last sensible answer; INT64_MIN when there was none. */
+/* Time of the last valid response, or INT64_MIN if there was none. */
 int64_t store_last_answer_ms(const struct store *);
-/* Whether the store answered within the last reachable_ms. */
+/* Whether the store responded within the last reachable_ms. */
 bool store_reachable(const struct store *, int64_t now_ms);
-/* Do what is due; a timer of the loop calls it, and tests may. */
+/* Sends and retries what is due.  Called by a timer, and by tests. */
 void store_tick(struct store *, int64_t now_ms);
 
 struct store_kv {
 	const char *key;
-	const char *value; /* a NUL follows */
+	const char *value; /* NUL-terminated */
 	size_t len;
 	int64_t create_revision;
 	int64_t mod_revision;
-	int64_t version; /* changes since it was created, from 1 */
+	int64_t version; /* number of changes since its creation, from 1 */
 	int64_t lease; /* 0: none */
 };
 
@@ -84,8 +84,8 @@
 	const char *key;
 	bool prefix; /* all keys that begin with key */
 	bool keys_only;
-	bool serializable; /* may be a little old, costs the store less */
-	int64_t revision; /* 0: now */
+	bool serializable; /* may be slightly stale, cheaper for the store */
+	int64_t revision; /* 0: latest */
 	int64_t limit; /* 0: none */
 	int64_t deadline_ms; /* from now; 0: read_deadline_ms */
 };
@@ -93,18 +93,18 @@
 struct store_range_result {
 	enum store_error error;
 	int64_t revision; /* of the whole store */
-	const struct store_kv *kvs; /* in order of their keys */
+	const struct store_kv *kvs; /* sorted by key */
 	size_t nkvs;
-	bool more; /* limit cut the rest off */
+	bool more; /* limit was reached, more keys exist */
 };
 
 typedef void store_range_done(const struct store_range_result *, void *ctx);
 
-/* STORE_OK or STORE_ERR_MEMORY; with the latter the callback won't come. */
+/* Returns STORE_OK, or STORE_ERR_MEMORY if the callback will not be called. */
 enum store_error store_range(struct store *, const struct store_range_request *,
     store_range_done *, void *ctx);
 
-/* Transactions: if all compares hold the success branch, else the other. */
+/* Transactions: run success if all compares hold, else failure. */
 enum store_target {
 	STORE_MOD_REVISION, /* 0: the key must not exist */
 	STORE_CREATE_REVISION,
@@ -145,17 +145,17 @@
 	size_t nfailure;
 };
 
-/* One for each op of the branch that ran, in its order. */
+/* One per operation of the branch that ran, in order. */
 struct store_op_result {
 	const struct store_kv *kvs; /* of a get */
 	size_t nkvs;
-	int64_t deleted; /* keys, of a delete */
+	int64_t deleted; /* number of keys, of a delete */
 };
 
 struct store_txn_result {
 	enum store_error error;
 	bool succeeded; /* the compares held */
-	int64_t revision; /* also the mod_revision of what was put */
+	int64_t revision; /* also the mod_revision of the keys put */
 	const struct store_op_result *ops;
 	size_t nops;
 };
@@ -165,7 +165,7 @@
 enum store_error store_txn(struct store *, const struct store_txn_request *,
     store_txn_done *, void *ctx);
 
-/* Leases.  A keepalive is never refused for the budget. */
+/* Leases.  A keepalive is not subject to the rate limit. */
 struct store_lease_result {
 	enum store_error error;
 	int64_t lease;
@@ -183,8 +183,8 @@
     struct store *, int64_t lease, store_lease_done *, void *ctx);
 
 /*
- * Watches.  A watch that breaks resumes by itself after the last revision it
- * saw, so that no event is missed or comes twice.
+ * Watches.  A broken watch resumes after the last revision that it delivered,
+ * so that no event is missed or repeated.
  */
 enum store_watch_event {
 	STORE_EVENT_PUT,
@@ -192,32 +192,32 @@
 };
 
 enum store_watch_loss {
-	STORE_WATCH_BROKEN, /* resumes by itself */
-	STORE_WATCH_COMPACTED, /* over: load with a range, watch from there */
-	STORE_WATCH_CANCELLED /* over, by the store */
+	STORE_WATCH_BROKEN, /* resumes automatically */
+	STORE_WATCH_COMPACTED, /* ended: read the range, watch from there */
+	STORE_WATCH_CANCELLED /* ended by the store */
 };
 
 typedef void store_watch_event_fn(
     enum store_watch_event, const struct store_kv *, void *ctx);
-/* Everything up to the revision has been told. */
+/* All events up to the revision were delivered. */
 typedef void store_watch_progress_fn(int64_t revision, void *ctx);
 typedef void store_watch_lost_fn(enum store_watch_loss, void *ctx);
 
 struct store_watch_options {
 	const char *prefix;
-	int64_t start_revision; /* the first one wanted; > 0 */
+	int64_t start_revision; /* first revision to deliver; > 0 */
 	store_watch_event_fn *on_event;
 	store_watch_progress_fn *on_progress; /* or NULL */
 	store_watch_lost_fn *on_lost; /* or NULL */
 	void *ctx;
 };
 
-/* NULL: no memory. */
+/* Returns NULL if out of memory or the store is closing. */
 struct store_watch *store_watch_open(
     struct store *, const struct store_watch_options *);
 /*
- * Allowed in the watch's callbacks.  Also needed after a loss that is final;
- * store_close closes what is left.
+ * May be called from the callbacks of the watch.  Required also after a final
+ * loss; store_close() closes the remaining watches.
  */
 void store_watch_close(struct store_watch *);
 
--- a/lib/store_call.c
+++ b/lib/store_call.c
@@ -8,7 +8,7 @@
 
 #define URL_MAX 512
 /* A prefix may hold many records of up to a megabyte, in base64. */
-#define ANSWER_MAX (256UL * 1024 * 1024)
+#define RESPONSE_MAX (256UL * 1024 * 1024)
 
 union store_result {
 	struct store_range_result range;
@@ -26,12 +26,12 @@
 	TAILQ_ENTRY(store_call) link;
 	struct store *store;
 	enum call_kind kind;
-	bool once; /* a write: sent once, a lost answer is UNKNOWN */
+	bool once; /* a write: not retried, may end as STORE_ERR_UNKNOWN */
 	char *body;
 	unsigned int tries;
-	uint64_t turn; /* of the store, when it was queued */
+	uint64_t tick; /* of the store, when it was queued */
 	int64_t due_ms;
-	int64_t deadline_ms; /* the time it gives up */
+	int64_t deadline_ms; /* no attempt after this time */
 	struct httpc_call *http;
 	union store_done done;
 	void *ctx;
@@ -39,21 +39,21 @@
 
 static struct store_call *call_new(
     struct store *, enum call_kind, char *, int64_t);
-static enum store_error queue(struct store_call *);
+static enum store_error enqueue(struct store_call *);
 static enum store_error start_lease(
     struct store *, enum call_kind, char *, store_lease_done *, void *);
 static void send_call(struct store_call *, int64_t);
 static struct httpc_call *start_http(struct store_call *, int64_t);
 static void on_http_done(const struct httpc_result *, void *);
-static enum store_error judge(
+static enum store_error response_error(
     const struct store_call *, const struct httpc_result *);
 static const char *retry_reason(const struct httpc_result *, enum store_error);
 static enum store_error decode(const struct store_call *,
     const struct httpc_result *, union store_result *);
-static bool try_again(struct store_call *, const char *);
-static void deliver(
+static bool schedule_retry(struct store_call *, const char *);
+static void finish_call(
     struct store_call *, enum store_error, union store_result *);
-static void give_up(struct store_call *, enum store_error);
+static void fail_call(struct store_call *, enum store_error);
 
 static const char *const paths[] = { "/v3/kv/range", "/v3/kv/txn",
 	"/v3/lease/grant", "/v3/lease/keepalive", "/v3/lease/revoke" };
@@ -73,16 +73,16 @@
 	call->kind = kind;
 	call->once = kind != CALL_RANGE && kind != CALL_LEASE_KEEPALIVE;
 	call->body = body;
-	call->turn = s->turn;
+	call->tick = s->tick;
 	call->due_ms = clock_now_ms();
 	call->deadline_ms = call->due_ms +
 	    (deadline_ms > 0 ? deadline_ms : s->read_deadline_ms);
 	return call;
 }
 
-/* The loop's next turn sends it, so that no callback comes from within. */
+/* The timer sends it, so that no callback runs within the caller. */
 static enum store_error
-queue(struct store_call *call)
+enqueue(struct store_call *call)
 {
 	TAILQ_INSERT_TAIL(&call->store->waiting, call, link);
 	store_arm_timer(call->store, 0);
@@ -101,7 +101,7 @@
 		return STORE_ERR_MEMORY;
 	call->done.range = done;
 	call->ctx = ctx;
-	return queue(call);
+	return enqueue(call);
 }
 
 enum store_error
@@ -115,7 +115,7 @@
 		return STORE_ERR_MEMORY;
 	call->done.txn = done;
 	call->ctx = ctx;
-	return queue(call);
+	return enqueue(call);
 }
 
 static enum store_error
@@ -128,7 +128,7 @@
 		return STORE_ERR_MEMORY;
 	call->done.lease = done;
 	call->ctx = ctx;
-	return queue(call);
+	return enqueue(call);
 }
 
 enum store_error
@@ -160,17 +160,17 @@
 {
 	struct store_call *call;
 
-	s->turn++;
+	s->tick++;
 again:
 	TAILQ_FOREACH (call, &s->waiting, link) {
 		/*
-		 * A callback that starts its refused call anew would keep this
-		 * going for ever: what is queued in this turn waits for the
-		 * next one.
+		 * Calls queued during this tick wait for the next one: a
+		 * callback that restarts its failed call would otherwise make
+		 * this loop endless.
 		 */
-		if (call->turn == s->turn || call->due_ms > now_ms)
+		if (call->tick == s->tick || call->due_ms > now_ms)
 			continue;
-		/* The callbacks may have changed the list. */
+		/* Callbacks may have changed the list. */
 		send_call(call, now_ms);
 		if (s->closing)
 			return;
@@ -198,8 +198,8 @@
 	struct store_call *call;
 
 	while ((call = TAILQ_FIRST(&s->waiting)) != NULL)
-		give_up(call, STORE_ERR_CANCELLED);
-	while ((call = TAILQ_FIRST(&s->flying)) != NULL)
+		fail_call(call, STORE_ERR_CANCELLED);
+	while ((call = TAILQ_FIRST(&s->in_flight)) != NULL)
 		httpc_cancel(call->http);
 }
 
@@ -212,27 +212,27 @@
 	s = call->store;
 	left_ms = call->deadline_ms - now_ms;
 	if (left_ms <= 0 && !call->once) {
-		give_up(call, STORE_ERR_UNAVAILABLE);
+		fail_call(call, STORE_ERR_UNAVAILABLE);
 		return;
 	}
-	/* A refused keepalive would cost the entry its registration. */
+	/* Without its keepalive, the entry would lose its registration. */
 	if (!store_consume_budget(
 		s, now_ms, call->kind == CALL_LEASE_KEEPALIVE)) {
-		if (call->tries == 0 || !try_again(call, "budget"))
-			give_up(call, STORE_ERR_BUDGET);
+		if (call->tries == 0 || !schedule_retry(call, "budget"))
+			fail_call(call, STORE_ERR_BUDGET);
 		return;
 	}
 	if ((call->http = start_http(call, left_ms)) == NULL) {
-		give_up(call, STORE_ERR_MEMORY);
+		fail_call(call, STORE_ERR_MEMORY);
 		return;
 	}
 	call->tries++;
 	store_count_call(call->kind);
 	TAILQ_REMOVE(&s->waiting, call, link);
-	TAILQ_INSERT_TAIL(&s->flying, call, link);
+	TAILQ_INSERT_TAIL(&s->in_flight, call, link);
 }
 
-/* NULL: no memory, or a URL too long for it. */
+/* Returns NULL if out of memory or the URL is too long. */
 static struct httpc_call *
 start_http(struct store_call *call, int64_t left_ms)
 {
@@ -256,7 +256,7 @@
 	request.timeout_ms = s->call_timeout_ms;
 	if (!call->once && left_ms < request.timeout_ms)
 		request.timeout_ms = left_ms;
-	request.body_max = ANSWER_MAX;
+	request.body_max = RESPONSE_MAX;
 	request.idempotent = !call->once;
 	request.on_done = on_http_done;
 	request.ctx = call;
@@ -274,33 +274,33 @@
 	call = ctx;
 	s = call->store;
 	call->http = NULL;
-	TAILQ_REMOVE(&s->flying, call, link);
+	TAILQ_REMOVE(&s->in_flight, call, link);
 	TAILQ_INSERT_TAIL(&s->waiting, call, link);
 	memset(&decoded, 0, sizeof(decoded));
-	error = judge(call, result);
+	error = response_error(call, result);
 	if (error == STORE_OK)
 		error = decode(call, result, &decoded);
 	if (error == STORE_ERR_UNAVAILABLE || error == STORE_ERR_UNKNOWN ||
 	    error == STORE_ERR_MALFORMED) {
 		store_next_endpoint(s);
 		if (!call->once && !s->closing &&
-		    try_again(call, retry_reason(result, error))) {
+		    schedule_retry(call, retry_reason(result, error))) {
 			store_arm_timer(s, 0);
 			return;
 		}
 	} else if (error != STORE_ERR_CANCELLED && error != STORE_ERR_MEMORY)
 		store_note_answer(s);
-	deliver(call, error, &decoded);
+	finish_call(call, error, &decoded);
 }
 
 /*
- * What the transport and the status say.  For a write, only an answer that
- * the store refused it, or a request that never left, means that it wasn't
- * applied: the store answers 5xx also when it gave up waiting for a write
- * that goes through afterwards.
+ * Maps the transport error and the HTTP status to an error.  A write was
+ * certainly not applied only if the store rejected it or the request was never
+ * sent: the store also responds with 5xx when it times out on a write that is
+ * applied later.
  */
 static enum store_error
-judge(const struct store_call *call, const struct httpc_result *result)
+response_error(const struct store_call *call, const struct httpc_result *result)
 {
 	if (result->error == HTTPC_OK) {
 		if (result->status == 200)
@@ -366,9 +366,9 @@
 	return call->once ? STORE_ERR_UNKNOWN : STORE_ERR_MALFORMED;
 }
 
-/* Wait for the next try, if it begins before the deadline. */
+/* Schedules a retry; false if it would start after the deadline. */
 static bool
-try_again(struct store_call *call, const char *reason)
+schedule_retry(struct store_call *call, const char *reason)
 {
 	int64_t due_ms;
 
@@ -383,17 +383,17 @@
 }
 
 static void
-give_up(struct store_call *call, enum store_error error)
+fail_call(struct store_call *call, enum store_error error)
 {
 	union store_result none;
 
 	memset(&none, 0, sizeof(none));
-	deliver(call, error, &none);
+	finish_call(call, error, &none);
 }
 
-/* Tell the caller; the call, which is in the waiting list, is over. */
+/* Calls the callback and frees the call, which is in the waiting list. */
 static void
-deliver(
+finish_call(
     struct store_call *call, enum store_error error, union store_result *result)
 {
 	TAILQ_REMOVE(&call->store->waiting, call, link);
--- a/lib/store_codec.h
+++ b/lib/store_codec.h
@@ -4,9 +4,9 @@
 #include "store.h"
 
 /*
- * Bodies of the store's JSON gateway.  Encoders return NUL-terminated text
- * that the caller frees, or NULL without memory.  Decoders return -1 for
- * what isn't an answer of the gateway.
+ * Message bodies of the store's JSON gateway.  Encoders return NUL-terminated
+ * text that the caller frees, or NULL if out of memory.  Decoders return -1 if
+ * the text is not a valid response or memory runs out.
  */
 
 char *store_encode_range(const struct store_range_request *);
@@ -15,14 +15,14 @@
 char *store_encode_lease_id(int64_t lease);
 char *store_encode_watch(const char *prefix, int64_t start_revision);
 
-/* The results own what they point to until they are freed. */
+/* The caller frees a result with the function of the same type. */
 int store_decode_range(const char *, size_t, struct store_range_result *);
 void store_free_range(struct store_range_result *);
 int store_decode_txn(const char *, size_t, struct store_txn_result *);
 void store_free_txn(struct store_txn_result *);
 int store_decode_lease(const char *, size_t, struct store_lease_result *);
 int store_decode_keepalive(const char *, size_t, struct store_lease_result *);
-/* What an answer other than 200 says of a request that wasn't applied. */
+/* Decodes the body of a rejected request: of a 4xx status instead of 200. */
 enum store_error store_decode_refusal(const char *, size_t);
 
 struct store_event {
--- a/lib/store_decode.c
+++ b/lib/store_decode.c
@@ -7,22 +7,22 @@
 #include "decimal.h"
 #include "store_codec.h"
 
-/* Codes of the gateway's errors that mean something to the caller. */
+/* gRPC status codes that map to an error of their own. */
 #define CODE_NOT_FOUND 5
 #define CODE_OUT_OF_RANGE 11
 
-static char *bytes_of(const json_t *, const char *, size_t *);
+static char *get_bytes(const json_t *, const char *, size_t *);
 static int decode_kv(const json_t *, struct store_kv *);
 static void free_kv(const struct store_kv *);
 static void free_kvs(const struct store_kv *, size_t);
 static int decode_kvs(const json_t *, const struct store_kv **, size_t *);
-static json_t *load_answer(const char *, size_t, int64_t *);
+static json_t *load_response(const char *, size_t, int64_t *);
 static int decode_op(const json_t *, struct store_op_result *);
 static int decode_event(const json_t *, struct store_event *);
 
-/* Left out means empty. */
+/* Decodes a base64 member; a missing one is empty. */
 static char *
-bytes_of(const json_t *object, const char *name, size_t *len)
+get_bytes(const json_t *object, const char *name, size_t *len)
 {
 	const json_t *value;
 
@@ -41,8 +41,8 @@
 	size_t key_len;
 
 	key_len = 0;
-	kv->key = bytes_of(object, "key", &key_len);
-	kv->value = bytes_of(object, "value", &kv->len);
+	kv->key = get_bytes(object, "key", &key_len);
+	kv->value = get_bytes(object, "value", &kv->len);
 	kv->create_revision = decimal_member(object, "create_revision");
 	kv->mod_revision = decimal_member(object, "mod_revision");
 	kv->version = decimal_member(object, "version");
@@ -99,9 +99,9 @@
 	return 0;
 }
 
-/* The answer's object; every whole one has a header with the revision. */
+/* Parses a response, which must have a header with a revision. */
 static json_t *
-load_answer(const char *text, size_t len, int64_t *revision)
+load_response(const char *text, size_t len, int64_t *revision)
 {
 	json_t *o;
 
@@ -122,7 +122,7 @@
 	int rc;
 
 	memset(r, 0, sizeof(*r));
-	if ((o = load_answer(text, len, &r->revision)) == NULL)
+	if ((o = load_response(text, len, &r->revision)) == NULL)
 		return -1;
 	r->more = json_is_true(json_object_get(o, "more"));
 	rc = decode_kvs(json_object_get(o, "kvs"), &r->kvs, &r->nkvs);
@@ -158,7 +158,7 @@
 	size_t i;
 
 	memset(r, 0, sizeof(*r));
-	if ((o = load_answer(text, len, &r->revision)) == NULL)
+	if ((o = load_response(text, len, &r->revision)) == NULL)
 		return -1;
 	r->succeeded = json_is_true(json_object_get(o, "succeeded"));
 	array = json_object_get(o, "responses");
@@ -200,7 +200,7 @@
 	json_t *o;
 
 	memset(r, 0, sizeof(*r));
-	if ((o = load_answer(text, len, &r->revision)) == NULL)
+	if ((o = load_response(text, len, &r->revision)) == NULL)
 		return -1;
 	r->lease = decimal_member(o, "ID");
 	r->ttl_s = decimal_member(o, "TTL");
--- a/lib/store_encode.c
+++ b/lib/store_encode.c
@@ -6,11 +6,11 @@
 #include "base64.h"
 #include "store_codec.h"
 
-static char *dump(json_t *);
+static char *dump_object(json_t *);
 static int put_bytes(json_t *, const char *, const void *, size_t);
 static int put_number(json_t *, const char *, int64_t);
 static int put_flag(json_t *, const char *, bool);
-static int put_span(json_t *, const char *, bool);
+static int put_key_range(json_t *, const char *, bool);
 static int put_range_end(json_t *, const char *);
 static json_t *encode_compare(const struct store_compare *);
 static json_t *encode_op(const struct store_op *);
@@ -21,9 +21,9 @@
 	"version" };
 static const char *const relation_names[] = { "EQUAL", "GREATER", "LESS" };
 
-/* Gives the object up. */
+/* Serializes and releases the object. */
 static char *
-dump(json_t *object)
+dump_object(json_t *object)
 {
 	char *text;
 
@@ -45,7 +45,7 @@
 	return rc;
 }
 
-/* The gateway has 64-bit integers as text. */
+/* The gateway encodes 64-bit integers as strings. */
 static int
 put_number(json_t *object, const char *name, int64_t number)
 {
@@ -59,9 +59,12 @@
 	return flag ? json_object_set_new(object, name, json_true()) : 0;
 }
 
-/* One key, or all that begin with it; one zero byte is below every key. */
+/*
+ * A single key, or all keys with that prefix.  A single zero byte sorts before
+ * every key: start of the range for an empty prefix.
+ */
 static int
-put_span(json_t *object, const char *key, bool prefix)
+put_key_range(json_t *object, const char *key, bool prefix)
 {
 	size_t len;
 
@@ -71,7 +74,7 @@
 	return prefix ? put_range_end(object, key) : 0;
 }
 
-/* The first key after all that begin with the prefix. */
+/* End of the range of a prefix: the first key after all that begin with it. */
 static int
 put_range_end(json_t *object, const char *prefix)
 {
@@ -88,7 +91,7 @@
 		end[len - 1]++;
 		rc = put_bytes(object, "range_end", end, len);
 	} else {
-		/* One zero byte stands for the end of all keys. */
+		/* A single zero byte means no upper bound. */
 		rc = put_bytes(object, "range_end", "", 1);
 	}
 	free(end);
@@ -102,7 +105,7 @@
 
 	if ((o = json_object()) == NULL)
 		return NULL;
-	if (put_span(o, range->key, range->prefix) == -1)
+	if (put_key_range(o, range->key, range->prefix) == -1)
 		goto fail;
 	if (range->revision != 0 &&
 	    put_number(o, "revision", range->revision) == -1)
@@ -113,7 +116,7 @@
 		goto fail;
 	if (put_flag(o, "keys_only", range->keys_only) == -1)
 		goto fail;
-	return dump(o);
+	return dump_object(o);
 
 fail:
 	json_decref(o);
@@ -157,7 +160,7 @@
 	name = "request_range";
 	prefix =
 	    op->kind == STORE_DELETE_PREFIX || op->kind == STORE_GET_PREFIX;
-	if (put_span(o, op->key, prefix) == -1)
+	if (put_key_range(o, op->key, prefix) == -1)
 		goto fail;
 	if (op->kind == STORE_PUT) {
 		name = "request_put";
@@ -213,7 +216,7 @@
 		goto fail;
 	if (encode_ops(o, "failure", txn->failure, txn->nfailure) == -1)
 		goto fail;
-	return dump(o);
+	return dump_object(o);
 
 fail:
 	json_decref(o);
@@ -226,7 +229,7 @@
 	json_t *o;
 
 	o = json_pack("{s:I}", "TTL", (json_int_t)ttl_s);
-	return o == NULL ? NULL : dump(o);
+	return o == NULL ? NULL : dump_object(o);
 }
 
 char *
@@ -240,7 +243,7 @@
 		json_decref(o);
 		return NULL;
 	}
-	return dump(o);
+	return dump_object(o);
 }
 
 char *
@@ -253,11 +256,11 @@
 	create = json_object();
 	if (json_object_set_new(o, "create_request", create) == -1)
 		goto fail;
-	if (put_span(create, prefix, true) == -1 ||
+	if (put_key_range(create, prefix, true) == -1 ||
 	    put_number(create, "start_revision", start_revision) == -1 ||
 	    put_flag(create, "progress_notify", true) == -1)
 		goto fail;
-	return dump(o);
+	return dump_object(o);
 
 fail:
 	json_decref(o);
--- a/lib/store_int.h
+++ b/lib/store_int.h
@@ -7,7 +7,7 @@
 
 #include "store.h"
 
-/* What the files of the store client share. */
+/* Internals of the store client. */
 
 enum call_kind {
 	CALL_RANGE,
@@ -27,7 +27,7 @@
 	struct httpc *httpc;
 	char **endpoints;
 	size_t nendpoints;
-	size_t endpoint; /* the one in use */
+	size_t endpoint; /* index of the one in use */
 	int64_t connect_timeout_ms;
 	int64_t call_timeout_ms;
 	int64_t read_deadline_ms;
@@ -36,35 +36,38 @@
 	int64_t backoff_base_ms;
 	int64_t backoff_max_ms;
 	double calls_per_s;
-	double tokens; /* calls that may be made now */
-	int64_t tokens_ms; /* when tokens was brought up to date */
+	double tokens; /* of the rate limit: calls allowed now */
+	int64_t tokens_ms; /* last update of tokens */
 	gsl_rng *rng;
-	uv_timer_t wake;
+	uv_timer_t timer;
 	int64_t last_answer_ms;
 	bool closing;
-	uint64_t turn; /* counts ticks */
-	struct store_call_list waiting; /* for their due time */
-	struct store_call_list flying;
+	uint64_t tick; /* number of ticks */
+	struct store_call_list waiting; /* until due_ms */
+	struct store_call_list in_flight;
 	struct store_watch_list watches;
 };
 
 /* store.c */
-/* Take one call off the budget; false when it is used up. */
+/* Consumes one token; false if none is left, unless always is set. */
 bool store_consume_budget(struct store *, int64_t now_ms, bool always);
-/* Full jitter: between 0 and the step for the number of failures before. */
+/*
+ * Exponential backoff with full jitter: 1 ms plus a random time from 0 to the
+ * lesser of backoff_base_ms * 2^failures and backoff_max_ms.
+ */
 int64_t store_backoff_ms(struct store *, unsigned int failures);
-/* Set the timer for the earliest thing due, but not before least_ms. */
+/* Sets the timer to the next due time, at least least_ms from now. */
 void store_arm_timer(struct store *, int64_t least_ms);
-/* The URL of a path at the endpoint in use; -1 when it doesn't fit. */
+/* Writes the URL of a path at the current endpoint; -1 if it doesn't fit. */
 int store_url(const struct store *, const char *path, char *, size_t);
-/* The endpoint in use failed: take the next one. */
+/* Switches to the next endpoint after a failure. */
 void store_next_endpoint(struct store *);
 void store_note_answer(struct store *);
 void store_count_call(enum call_kind);
 
 /* store_call.c */
 void store_calls_tick(struct store *, int64_t now_ms);
-/* The earliest time that something is due, or INT64_MAX. */
+/* The earliest due time, or INT64_MAX. */
 int64_t store_calls_next_due_ms(const struct store *);
 void store_calls_close(struct store *);
 
--- a/lib/store_watch.c
+++ b/lib/store_watch.c
@@ -8,14 +8,14 @@
 #include "store_int.h"
 
 #define URL_MAX 512
-#define LINE_FIRST 4096
-/* Events of one revision come in one line, values in base64. */
+#define LINE_MIN_SIZE 4096
+/* A line holds all events of a revision, values in base64. */
 #define LINE_MAX_LEN (256UL * 1024 * 1024)
 
 enum watch_state {
 	WATCH_WAITING, /* to be opened at due_ms */
 	WATCH_OPEN,
-	WATCH_OVER /* lost for good, or closed */
+	WATCH_ENDED /* ended by the store, or closed */
 };
 
 struct store_watch {
@@ -23,19 +23,19 @@
 	struct store *store;
 	enum watch_state state;
 	char *prefix;
-	int64_t next_revision; /* the first one not yet seen */
+	int64_t next_revision; /* first one not yet delivered */
 	int64_t due_ms;
-	int64_t heard_ms;
-	unsigned int failures; /* since it was last heard */
+	int64_t last_message_ms; /* time of the last message, or of opening */
+	unsigned int failures; /* since the last message */
 	struct httpc_call *http;
-	char *line; /* of a message that isn't whole yet */
+	char *line; /* buffer of an incomplete message */
 	size_t line_len;
 	size_t line_size;
 	store_watch_event_fn *on_event;
 	store_watch_progress_fn *on_progress;
 	store_watch_lost_fn *on_lost;
 	void *ctx;
-	int busy; /* depth of callbacks in which it isn't freed */
+	int busy; /* nesting depth of callbacks; freed only at 0 */
 	bool closed;
 };
 
@@ -43,14 +43,14 @@
 static void on_head(struct httpc_call *, int, void *);
 static void on_data(struct httpc_call *, const char *, size_t, void *);
 static void on_done(const struct httpc_result *, void *);
-static int keep(struct store_watch *, const char *, size_t);
-static void take_line(struct store_watch *, const char *, size_t);
-static void take_events(
+static int append_line(struct store_watch *, const char *, size_t);
+static void handle_line(struct store_watch *, const char *, size_t);
+static void deliver_events(
     struct store_watch *, const struct store_watch_message *);
-static void wait_again(struct store_watch *, const char *);
-static void drop_http(struct store_watch *);
-static void lose(struct store_watch *, enum store_watch_loss);
-static void release(struct store_watch *);
+static void schedule_reopen(struct store_watch *, const char *);
+static void cancel_http(struct store_watch *);
+static void end_watch(struct store_watch *, enum store_watch_loss);
+static void free_if_closed(struct store_watch *);
 
 struct store_watch *
 store_watch_open(struct store *s, const struct store_watch_options *o)
@@ -80,15 +80,15 @@
 store_watch_close(struct store_watch *w)
 {
 	w->closed = true;
-	w->state = WATCH_OVER;
+	w->state = WATCH_ENDED;
 	w->busy++;
-	drop_http(w);
+	cancel_http(w);
 	w->busy--;
-	release(w);
+	free_if_closed(w);
 }
 
 static void
-release(struct store_watch *w)
+free_if_closed(struct store_watch *w)
 {
 	if (!w->closed || w->busy > 0)
 		return;
@@ -119,7 +119,7 @@
 	TAILQ_FOREACH (w, &s->watches, link) {
 		if (w->state == WATCH_WAITING && w->due_ms < due_ms)
 			due_ms = w->due_ms;
-		idle_ms = w->heard_ms + s->watch_idle_ms;
+		idle_ms = w->last_message_ms + s->watch_idle_ms;
 		if (w->state == WATCH_OPEN && idle_ms < due_ms)
 			due_ms = idle_ms;
 	}
@@ -138,13 +138,13 @@
 			goto again;
 		}
 		if (w->state == WATCH_OPEN &&
-		    w->heard_ms + s->watch_idle_ms <= now_ms) {
+		    w->last_message_ms + s->watch_idle_ms <= now_ms) {
 			/*
-			 * A peer that vanished without closing leaves a
-			 * connection that is silent for ever, and the entry
-			 * would run on old configuration.
+			 * A peer that disappears without closing the
+			 * connection leaves it silent for ever, and the entry
+			 * would use stale configuration.
 			 */
-			wait_again(w, "watch_idle");
+			schedule_reopen(w, "watch_idle");
 			goto again;
 		}
 	}
@@ -159,7 +159,7 @@
 	char url[URL_MAX], *body;
 
 	if (!store_consume_budget(w->store, now_ms, false)) {
-		wait_again(w, "budget");
+		schedule_reopen(w, "budget");
 		return;
 	}
 	body = store_encode_watch(w->prefix, w->next_revision);
@@ -184,13 +184,13 @@
 	free(body);
 	store_count_call(CALL_WATCH);
 	w->state = WATCH_OPEN;
-	w->heard_ms = now_ms;
+	w->last_message_ms = now_ms;
 	w->line_len = 0;
 	return;
 
 fail:
 	free(body);
-	wait_again(w, "memory");
+	schedule_reopen(w, "memory");
 }
 
 static void
@@ -201,7 +201,7 @@
 	(void)call;
 	w = ctx;
 	if (status != 200 && w->state == WATCH_OPEN)
-		wait_again(w, "watch_refused");
+		schedule_reopen(w, "watch_refused");
 }
 
 static void
@@ -215,29 +215,29 @@
 	w->busy++;
 	while (len > 0 && w->state == WATCH_OPEN && w->http == call) {
 		if ((end = memchr(data, '\n', len)) == NULL) {
-			if (keep(w, data, len) == -1)
-				wait_again(w, "watch_rubbish");
+			if (append_line(w, data, len) == -1)
+				schedule_reopen(w, "watch_rubbish");
 			break;
 		}
 		n = (size_t)(end - data);
 		if (w->line_len == 0)
-			take_line(w, data, n);
-		else if (keep(w, data, n) == -1)
-			wait_again(w, "watch_rubbish");
+			handle_line(w, data, n);
+		else if (append_line(w, data, n) == -1)
+			schedule_reopen(w, "watch_rubbish");
 		else {
 			n = w->line_len;
 			w->line_len = 0;
-			take_line(w, w->line, n);
+			handle_line(w, w->line, n);
 		}
 		len -= (size_t)(end - data) + 1;
 		data = end + 1;
 	}
 	w->busy--;
-	release(w);
+	free_if_closed(w);
 }
 
 static int
-keep(struct store_watch *w, const char *data, size_t len)
+append_line(struct store_watch *w, const char *data, size_t len)
 {
 	size_t want;
 	char *grown;
@@ -248,8 +248,8 @@
 	if (want > w->line_size) {
 		if (want < w->line_size * 2)
 			want = w->line_size * 2;
-		if (want < LINE_FIRST)
-			want = LINE_FIRST;
+		if (want < LINE_MIN_SIZE)
+			want = LINE_MIN_SIZE;
 		if ((grown = realloc(w->line, want)) == NULL)
 			return -1;
 		w->line = grown;
@@ -261,34 +261,35 @@
 }
 
 static void
-take_line(struct store_watch *w, const char *line, size_t len)
+handle_line(struct store_watch *w, const char *line, size_t len)
 {
 	struct store_watch_message m;
 
 	if (len == 0)
 		return;
 	if (store_decode_watch(line, len, &m) == -1) {
-		wait_again(w, "watch_rubbish");
+		schedule_reopen(w, "watch_rubbish");
 		return;
 	}
-	w->heard_ms = clock_now_ms();
+	w->last_message_ms = clock_now_ms();
 	w->failures = 0;
 	store_note_answer(w->store);
 	if (m.compact_revision > 0)
-		lose(w, STORE_WATCH_COMPACTED);
+		end_watch(w, STORE_WATCH_COMPACTED);
 	else if (m.cancelled)
-		lose(w, STORE_WATCH_CANCELLED);
+		end_watch(w, STORE_WATCH_CANCELLED);
 	else
-		take_events(w, &m);
+		deliver_events(w, &m);
 	store_free_watch(&m);
 }
 
 /*
- * The header's revision may be ahead of events still to come, unless the
- * message is one of progress: only what was seen moves the resume point.
+ * The revision in the header may be ahead of events not yet delivered, except
+ * in a progress notification.  Otherwise only delivered events advance the
+ * revision from which the watch resumes.
  */
 static void
-take_events(struct store_watch *w, const struct store_watch_message *m)
+deliver_events(struct store_watch *w, const struct store_watch_message *m)
 {
 	int64_t seen;
 	size_t i;
@@ -321,12 +322,12 @@
 	if (w->state != WATCH_OPEN)
 		return;
 	store_next_endpoint(w->store);
-	wait_again(w, "watch_broken");
+	schedule_reopen(w, "watch_broken");
 }
 
-/* Resume later after the last revision seen. */
+/* Schedules a reopening after the last revision seen. */
 static void
-wait_again(struct store_watch *w, const char *reason)
+schedule_reopen(struct store_watch *w, const char *reason)
 {
 	bool was_open;
 
@@ -335,29 +336,29 @@
 	w->due_ms = clock_now_ms() + store_backoff_ms(w->store, w->failures++);
 	counter_inc_reason("lagoonpin_store_retries", reason);
 	w->busy++;
-	drop_http(w);
+	cancel_http(w);
 	if (was_open && !w->closed && w->on_lost != NULL)
 		w->on_lost(STORE_WATCH_BROKEN, w->ctx);
 	w->busy--;
 	store_arm_timer(w->store, 0);
-	release(w);
+	free_if_closed(w);
 }
 
 static void
-lose(struct store_watch *w, enum store_watch_loss loss)
+end_watch(struct store_watch *w, enum store_watch_loss loss)
 {
 	log_info("store_watch_lost", "prefix=%s loss=%s", w->prefix,
 	    loss == STORE_WATCH_COMPACTED ? "compacted" : "cancelled");
 	counter_inc_reason("lagoonpin_store_errors",
 	    loss == STORE_WATCH_COMPACTED ? "compacted" : "watch_cancelled");
-	w->state = WATCH_OVER;
-	drop_http(w);
+	w->state = WATCH_ENDED;
+	cancel_http(w);
 	if (w->on_lost != NULL)
 		w->on_lost(loss, w->ctx);
 }
 
 static void
-drop_http(struct store_watch *w)
+cancel_http(struct store_watch *w)
 {
 	struct httpc_call *http;
 
--- a/lib/vmlist.c
+++ b/lib/vmlist.c
@@ -61,7 +61,7 @@
 	return error;
 }
 
-/* Returns the name of the first field that is wrong, or NULL. */
+/* Returns the name of the first invalid field, or NULL. */
 static const char *
 parse_vm(const json_t *vm, struct vm_info *info)
 {
--- a/lib/vmlist.h
+++ b/lib/vmlist.h
@@ -5,24 +5,24 @@
 
 #include "fleet.h"
 
-/* The platform's list of VMs: its JSON form, see docs/INTERFACES.md. */
+/* Parser of the platform's VM list, see docs/INTERFACES.md. */
 
 enum vmlist_error {
 	VMLIST_OK,
-	VMLIST_ERR_JSON, /* no JSON object with an array "vms" */
+	VMLIST_ERR_JSON, /* not a JSON object with an array "vms" */
 	VMLIST_ERR_FIELD, /* a field is missing or out of range */
 	VMLIST_ERR_MEMORY
 };
 
-/* What was wrong, for the log. */
+/* Position of the error, for the log. */
 struct vmlist_fault {
 	size_t index; /* of the VM in the list */
-	char field[32]; /* "" when the list as a whole is wrong */
+	char field[32]; /* "" if the error concerns the whole list */
 };
 
 /*
- * Parse a whole list; it is refused as a whole, since half a list would
- * look like a rack lost.  *infos is freed by the caller.
+ * Parses a VM list.  One invalid VM rejects the whole list, since a partial
+ * list would look like the loss of a rack.  The caller frees *infos.
  */
 enum vmlist_error vmlist_parse(const char *text, size_t len,
     struct vm_info **infos, size_t *n, struct vmlist_fault *);
--- a/lib/wire.c
+++ b/lib/wire.c
@@ -13,10 +13,10 @@
 #define TRANSFERS_ITEMS 4
 #define GROUP_ITEMS 3
 #define TRANSFER_ITEMS 3
-#define WANT_ITEMS 5
+#define CREDIT_REQUEST_ITEMS 5
 #define AMOUNT_MAX 1000000
 
-/* The flags of a member record: its state in the low bits. */
+/* Flags of a member record, with its state in the low bits. */
 #define FLAG_STATE 7
 #define FLAG_STORE 8
 
@@ -33,7 +33,7 @@
 static void read_digest(struct wire_reader *, void *);
 static void read_group(struct wire_reader *, struct wire_transfers *);
 static void read_transfers(struct wire_reader *, void *);
-static void read_want(struct wire_reader *, void *);
+static void read_credit_request(struct wire_reader *, void *);
 
 struct envelope {
 	struct wire_header *header;
@@ -167,7 +167,7 @@
 	record->counter = wire_uint(&inner, UINT64_MAX);
 	flags = wire_uint(&inner, FLAG_STATE | FLAG_STORE);
 	state = flags & FLAG_STATE;
-	/* An entry speaks only for itself: alive, leaving or left. */
+	/* Entries declare only these states; the others are inferred. */
 	if (state != MEMBER_ALIVE && state != MEMBER_LEAVING &&
 	    state != MEMBER_LEFT)
 		inner.error = WIRE_ERR_MALFORMED;
@@ -230,7 +230,7 @@
 	    strcmp(a->owner, b->owner) == 0;
 }
 
-/* Transfers from first on that share shard, owner and epoch. */
+/* Counts the transfers from first on with the same shard, owner and epoch. */
 static size_t
 group_size(const struct wire_transfers *transfers, size_t first)
 {
@@ -351,35 +351,35 @@
 
 enum wire_error
 wire_encode_credit_request(
-    struct msgpack_sbuffer *out, const struct wire_credit_request *want)
+    struct msgpack_sbuffer *out, const struct wire_credit_request *request)
 {
 	msgpack_packer pk;
 
 	msgpack_packer_init(&pk, out, msgpack_sbuffer_write);
-	msgpack_pack_array(&pk, WANT_ITEMS);
-	wire_put_str(&pk, want->service);
-	msgpack_pack_int(&pk, want->amount.slots);
-	msgpack_pack_int(&pk, want->amount.connections);
-	put_load(&pk, want->load);
+	msgpack_pack_array(&pk, CREDIT_REQUEST_ITEMS);
+	wire_put_str(&pk, request->service);
+	msgpack_pack_int(&pk, request->amount.slots);
+	msgpack_pack_int(&pk, request->amount.connections);
+	put_load(&pk, request->load);
 	return WIRE_OK;
 }
 
 static void
-read_want(struct wire_reader *r, void *out)
+read_credit_request(struct wire_reader *r, void *out)
 {
-	struct wire_credit_request *want = out;
+	struct wire_credit_request *request = out;
 
-	wire_str(r, want->service, sizeof(want->service));
-	want->amount.slots = (int)wire_uint(r, AMOUNT_MAX);
-	want->amount.connections = (int)wire_uint(r, AMOUNT_MAX);
-	want->load = read_load(r);
+	wire_str(r, request->service, sizeof(request->service));
+	request->amount.slots = (int)wire_uint(r, AMOUNT_MAX);
+	request->amount.connections = (int)wire_uint(r, AMOUNT_MAX);
+	request->load = read_load(r);
 }
 
 enum wire_error
 wire_decode_credit_request(
-    const void *data, size_t len, struct wire_credit_request *want)
+    const void *data, size_t len, struct wire_credit_request *request)
 {
-	return wire_decode_body(data, len, read_want, want);
+	return wire_decode_body(data, len, read_credit_request, request);
 }
 
 const char *
--- a/lib/wire_int.h
+++ b/lib/wire_int.h
@@ -3,27 +3,27 @@
 
 #include "wire.h"
 
-/* What the codecs of the payloads share: reading untrusted msgpack. */
+/* Reader of untrusted msgpack, shared by the payload codecs. */
 
-/* Reads the items of one array in order; the first error sticks. */
+/* Reads the items of one array in order; keeps the first error. */
 struct wire_reader {
 	const msgpack_object *at;
 	size_t left;
 	enum wire_error error;
 };
 
-/* Reads the items of the outermost array. */
+/* Decodes the items of the outermost array into out. */
 typedef void wire_body(struct wire_reader *, void *out);
 
-/* Decode a whole buffer, which must be one array used up by the body. */
+/* Decodes a buffer of exactly one array; body must read all its items. */
 enum wire_error wire_decode_body(const void *, size_t, wire_body *, void *out);
 
-/* After an error these return NULL, 0, "" or an empty array. */
+/* After an error, these return NULL, 0, "" or an empty array. */
 const msgpack_object *wire_next(struct wire_reader *, msgpack_object_type);
 uint64_t wire_uint(struct wire_reader *, uint64_t max);
 void wire_str(struct wire_reader *, char *, size_t);
 struct wire_reader wire_array(struct wire_reader *, size_t max);
-/* The inner array must be used up and without error. */
+/* Passes on an error of inner; items left unread are one, too. */
 void wire_end_array(struct wire_reader *, const struct wire_reader *inner);
 
 void wire_put_str(msgpack_packer *, const char *);
--- a/lib/wireconf.c
+++ b/lib/wireconf.c
@@ -19,7 +19,7 @@
 static void read_config(struct wire_reader *, void *);
 static void read_update(
     struct wire_reader *, struct config_out *, struct conf_update *);
-static const char *keep(
+static const char *copy_string(
     struct wire_reader *, struct config_out *, const msgpack_object *);
 
 enum wire_error
@@ -40,7 +40,7 @@
 		msgpack_pack_array(&pk, UPDATE_ITEMS);
 		wire_put_str(&pk, update->key);
 		msgpack_pack_int64(&pk, update->revision);
-		/* An empty text stands for a deletion: no record is empty. */
+		/* An empty text marks a deletion, as no record is empty. */
 		msgpack_pack_str(&pk, update->text == NULL ? 0 : update->len);
 		if (update->text != NULL)
 			msgpack_pack_str_body(&pk, update->text, update->len);
@@ -48,9 +48,10 @@
 	return out->size > WIRE_MESSAGE_MAX ? WIRE_ERR_TOO_LARGE : WIRE_OK;
 }
 
-/* A copy that ends in a NUL; there is room for all of the message's. */
+/* Copies a string to the storage, NUL-terminated; "" if empty. */
 static const char *
-keep(struct wire_reader *r, struct config_out *out, const msgpack_object *o)
+copy_string(
+    struct wire_reader *r, struct config_out *out, const msgpack_object *o)
 {
 	char *to;
 
@@ -75,10 +76,11 @@
 	struct wire_reader inner;
 
 	inner = wire_array(r, UPDATE_ITEMS);
-	update->key = keep(&inner, out, wire_next(&inner, MSGPACK_OBJECT_STR));
+	update->key =
+	    copy_string(&inner, out, wire_next(&inner, MSGPACK_OBJECT_STR));
 	update->revision = (int64_t)wire_uint(&inner, INT64_MAX);
 	text = wire_next(&inner, MSGPACK_OBJECT_STR);
-	update->text = keep(&inner, out, text);
+	update->text = copy_string(&inner, out, text);
 	update->len = text == NULL ? 0 : text->via.str.size;
 	if (update->len == 0)
 		update->text = NULL;
@@ -117,7 +119,7 @@
 	memset(delta, 0, sizeof(*delta));
 	memset(&out, 0, sizeof(out));
 	out.delta = delta;
-	/* Each string takes a byte of the message besides its text. */
+	/* Each string has a header byte in the message: room for its NUL. */
 	out.size = len + 1;
 	*storage = out.storage = malloc(out.size);
 	if (out.storage == NULL)
--- a/lib/wireconf.h
+++ b/lib/wireconf.h
@@ -8,13 +8,13 @@
 #include "conf.h"
 #include "wire.h"
 
-/* Payload of WIRE_CONFIG: what one entry knows of the operators' records. */
+/* Payload of WIRE_CONFIG: operators' records that an entry has loaded. */
 
 enum wire_error wire_encode_config(
     struct msgpack_sbuffer *out, const struct conf_delta *);
 /*
- * Keys and texts are copies in *storage; free both with wire_config_free,
- * also after an error.
+ * Keys and texts point to copies in *storage.  The caller frees both with
+ * wire_config_free(), also after an error.
  */
 enum wire_error wire_decode_config(
     const void *, size_t len, struct conf_delta *, char **storage);
--- a/lib/wireread.c
+++ b/lib/wireread.c
@@ -4,11 +4,11 @@
 #include "wire.h"
 #include "wire_int.h"
 
-static enum wire_error refuse(enum wire_error);
-static struct wire_reader reader_of(const msgpack_object *);
+static enum wire_error count_error(enum wire_error);
+static struct wire_reader reader_init(const msgpack_object *);
 
 static enum wire_error
-refuse(enum wire_error error)
+count_error(enum wire_error error)
 {
 	if (error != WIRE_OK)
 		wire_refused(wire_strerror(error));
@@ -26,7 +26,7 @@
 }
 
 static struct wire_reader
-reader_of(const msgpack_object *object)
+reader_init(const msgpack_object *object)
 {
 	struct wire_reader r;
 
@@ -97,13 +97,12 @@
 		inner.error = r->error;
 		return inner;
 	}
-	inner = reader_of(o);
+	inner = reader_init(o);
 	if (inner.left > max)
 		inner.error = WIRE_ERR_TOO_LARGE;
 	return inner;
 }
 
-/* The inner array must be used up and without error. */
 void
 wire_end_array(struct wire_reader *r, const struct wire_reader *inner)
 {
@@ -115,10 +114,10 @@
 }
 
 /*
- * The library takes room for as many items as an array claims.  An array that
- * claims more than the message can hold costs address space only, since no
- * item is written before its bytes are there; the message ends as cut, or as
- * no_memory where that much is refused.
+ * msgpack allocates the number of items that an array header declares.  More
+ * items than the message can hold cost only address space, as no item is
+ * written before its bytes are read.  Such a message is rejected as truncated,
+ * or as out of memory if the allocation fails.
  */
 enum wire_error
 wire_decode_body(const void *data, size_t len, wire_body *body, void *out)
@@ -129,7 +128,7 @@
 	size_t offset;
 
 	if (len > WIRE_MESSAGE_MAX)
-		return refuse(WIRE_ERR_TOO_LARGE);
+		return count_error(WIRE_ERR_TOO_LARGE);
 	memset(&outer, 0, sizeof(outer));
 	offset = 0;
 	msgpack_unpacked_init(&unpacked);
@@ -141,10 +140,10 @@
 	else if (got != MSGPACK_UNPACK_SUCCESS || offset != len)
 		outer.error = WIRE_ERR_MALFORMED;
 	else {
-		r = reader_of(&unpacked.data);
+		r = reader_init(&unpacked.data);
 		body(&r, out);
 		wire_end_array(&outer, &r);
 	}
 	msgpack_unpacked_destroy(&unpacked);
-	return refuse(outer.error);
+	return count_error(outer.error);
 }
