--- a/core/admit.c
+++ b/core/admit.c
@@ -8,7 +8,7 @@
 #define PROBE_SHARE 8
 
 static size_t starts_before(const struct admit_service *, enum admit_priority);
-static int64_t book_retry_ms(struct admit_service *, int64_t, int64_t);
+static int64_t reserve_retry_ms(struct admit_service *, int64_t, int64_t);
 
 struct admit *
 admit_open(const struct admit_options *o)
@@ -116,7 +116,7 @@
  * in one burst do not all retry at once and cause the next burst.
  */
 static int64_t
-book_retry_ms(struct admit_service *s, int64_t now_ms, int64_t excess_ms)
+reserve_retry_ms(struct admit_service *s, int64_t now_ms, int64_t excess_ms)
 {
 	int64_t credits, at_ms, max_ms;
 
@@ -161,11 +161,12 @@
 	left_ms = it->deadline_ms - now_ms;
 	if (a->queued >= a->o.queue_max ||
 	    a->bytes + it->bytes > a->o.queue_bytes_max) {
-		*retry_after_ms = book_retry_ms(s, now_ms, needed_ms);
+		*retry_after_ms = reserve_retry_ms(s, now_ms, needed_ms);
 		return ADMIT_QUEUE_FULL;
 	}
 	if (left_ms <= 0 || (left_ms < needed_ms && !admit_probe_allowed(s))) {
-		*retry_after_ms = book_retry_ms(s, now_ms, needed_ms - left_ms);
+		*retry_after_ms =
+		    reserve_retry_ms(s, now_ms, needed_ms - left_ms);
 		return ADMIT_CANT_MEET_DEADLINE;
 	}
 	/*
--- a/core/bind.c
+++ b/core/bind.c
@@ -232,7 +232,7 @@
 		if ((i = sample_next(&s)) == n)
 			break;
 		search.too_large = search.too_large && !fits_empty(t, w[i]);
-		if (w[i]->leaving || !fits(o, t, w[i]) ||
+		if (w[i]->draining || !fits(o, t, w[i]) ||
 		    (room != NULL && !room(ctx, i, &t->reserve)))
 			continue;
 		state = health_state(&w[i]->health, now_ms);
@@ -277,7 +277,7 @@
 	for (examined = 0; examined < o->examine_max; examined++) {
 		if ((i = sample_next(&s)) == n)
 			break;
-		if (w[i]->leaving || !fits_empty(t, w[i]) ||
+		if (w[i]->draining || !fits_empty(t, w[i]) ||
 		    has_work_ahead(o, w[i]) ||
 		    health_state(&w[i]->health, now_ms) != HEALTH_OK)
 			continue;
--- a/core/bind.h
+++ b/core/bind.h
@@ -41,7 +41,7 @@
 	struct resources reserved; /* by all bound tasks, services included */
 	int rack; /* number given by the caller, unique over data centres */
 	int data_center; /* number given by the caller */
-	int leaving;
+	int draining;
 	int tasks; /* bound to the worker */
 	uint64_t id; /* hash of the worker's id */
 	/*
--- a/core/choose.c
+++ b/core/choose.c
@@ -79,14 +79,14 @@
 }
 
 static struct choose_result
-no_endpoint(size_t n, int leaving)
+no_endpoint(size_t n, int draining)
 {
 	struct choose_result r;
 
 	memset(&r, 0, sizeof(r));
 	r.index = -1;
 	r.reason = CHOOSE_NO_CREDIT;
-	if (leaving)
+	if (draining)
 		r.reason = CHOOSE_ALL_LEAVING;
 	if (n == 0)
 		r.reason = CHOOSE_NONE;
@@ -102,9 +102,9 @@
 	struct latency l, best, next;
 	struct sample s;
 	size_t i;
-	int found, leaving, examined;
+	int found, draining, examined;
 
-	found = leaving = examined = 0;
+	found = draining = examined = 0;
 	memset(&best, 0, sizeof(best));
 	best.index = -1;
 	best.total_ms = INFINITY;
@@ -117,8 +117,8 @@
 		examined++;
 		if (e[i]->credits <= 0 || (int)i == exclude)
 			continue;
-		if (e[i]->leaving) {
-			leaving = 1;
+		if (e[i]->draining) {
+			draining = 1;
 			continue;
 		}
 		found++;
@@ -131,7 +131,7 @@
 			next = l;
 	}
 	if (best.index < 0)
-		return no_endpoint(n, leaving);
+		return no_endpoint(n, draining);
 	r.index = best.index;
 	r.expected_ms = best.total_ms;
 	r.runner_up_ms = found > 1 ? next.total_ms : 0;
--- a/core/choose.h
+++ b/core/choose.h
@@ -31,7 +31,7 @@
 	int credits; /* spare credits held by this entry */
 	int in_flight; /* calls of this entry */
 	int slots; /* the endpoint's slots */
-	int leaving; /* draining: takes no new calls */
+	int draining; /* draining: takes no new calls */
 	int failures; /* consecutive calls without a response */
 	int64_t failed_ms; /* time of the last failure */
 	struct learn_worker *learnt; /* NULL: unknown */
--- a/core/credit.c
+++ b/core/credit.c
@@ -149,7 +149,7 @@
 		return;
 	credit_amount_add(&row->spare, amount, sign);
 	row->min_spare = amount_min(row->min_spare, row->spare);
-	if (!row->leaving)
+	if (!row->draining)
 		credit_amount_add(&table->spare, amount, sign);
 	if (table->on_spare != NULL)
 		table->on_spare(row, table->ctx);
@@ -246,7 +246,7 @@
 
 	if ((row = credit_row(table, worker)) == NULL)
 		return CREDIT_ERR_UNKNOWN_WORKER;
-	if (row->leaving)
+	if (row->draining)
 		return CREDIT_ERR_LEAVING;
 	need = amount_per_call(kind);
 	if (!credit_amount_covers(row->spare, need))
@@ -318,15 +318,16 @@
 }
 
 void
-credit_leaving(struct credit_table *table, const char *worker, bool leaving)
+credit_set_draining(
+    struct credit_table *table, const char *worker, bool draining)
 {
 	struct credit_worker *row;
 
 	row = credit_row(table, worker);
-	if (row == NULL || row->leaving == leaving)
+	if (row == NULL || row->draining == draining)
 		return;
-	credit_amount_add(&table->spare, row->spare, leaving ? -1 : 1);
-	row->leaving = leaving;
+	credit_amount_add(&table->spare, row->spare, draining ? -1 : 1);
+	row->draining = draining;
 	if (table->on_spare != NULL)
 		table->on_spare(row, table->ctx);
 }
@@ -378,7 +379,7 @@
 		return true;
 	if (row->busy.connections > 0 || row->older.connections > 0)
 		return false;
-	if (!row->leaving)
+	if (!row->draining)
 		credit_amount_add(&table->spare, row->spare, -1);
 	RB_REMOVE(credit_rows, &table->rows, row);
 	credit_grants_clear(row);
--- a/core/credit.h
+++ b/core/credit.h
@@ -77,7 +77,7 @@
 	char owner[CREDIT_ID_MAX];
 	uint64_t epoch;
 	bool issued; /* by this entry, in this epoch */
-	bool leaving;
+	bool draining;
 	bool fenced; /* the endpoint refuses credits of this epoch */
 	struct credit_amount spare; /* held here, available for calls */
 	struct credit_amount busy; /* held here, used by calls */
@@ -91,7 +91,7 @@
 	struct credit_grants grants;
 };
 
-/* Called when a row's spare credits or its leaving flag have changed. */
+/* Called when a row's spare credits or its draining flag have changed. */
 typedef void credit_spare_cb(const struct credit_worker *, void *ctx);
 
 struct credit_options {
@@ -221,7 +221,8 @@
 int credit_lost(struct credit_table *, const char *shard);
 
 /* Spare credits of draining workers are not included in credit_spare(). */
-void credit_leaving(struct credit_table *, const char *worker, bool leaving);
+void credit_set_draining(
+    struct credit_table *, const char *worker, bool draining);
 
 /*
  * Calls back for each row with credits that were not needed since the last
--- a/core/credit_int.h
+++ b/core/credit_int.h
@@ -42,7 +42,7 @@
 	struct credit_rows rows;
 	struct credit_peers peers;
 	struct credit_holdings holdings;
-	struct credit_amount spare; /* sum over rows that are not leaving */
+	struct credit_amount spare; /* sum over rows that are not draining */
 	credit_spare_cb *on_spare;
 	void *ctx;
 };
--- a/core/ledger.c
+++ b/core/ledger.c
@@ -249,9 +249,9 @@
 }
 
 void
-ledger_worker_leaving(struct ledger_worker *w, bool leaving)
+ledger_worker_set_draining(struct ledger_worker *w, bool draining)
 {
-	w->leaving = leaving;
+	w->draining = draining;
 }
 
 void
@@ -266,7 +266,7 @@
 bool
 ledger_worker_usable(const struct ledger_worker *w)
 {
-	return w->fenced && !w->leaving && !w->gone && !w->lost;
+	return w->fenced && !w->draining && !w->gone && !w->lost;
 }
 
 struct ledger_task *
--- a/core/ledger.h
+++ b/core/ledger.h
@@ -146,7 +146,7 @@
 	bool fence_call; /* a fence is in flight */
 	bool renew_call; /* a renewal is in flight */
 	bool fence_wanted; /* fence again for an exact list of its tasks */
-	bool leaving; /* draining: no new work, tasks are evicted */
+	bool draining; /* draining: no new work, tasks are evicted */
 	bool gone; /* its VM is gone according to the VM list */
 	bool lost; /* lost_after calls in a row got no answer */
 	uint32_t unanswered_calls; /* consecutive calls without an answer */
@@ -266,9 +266,9 @@
 	enum ledger_phase phase;
 	enum ledger_write write;
 	bool reading; /* a read back is in flight */
-	bool doubt; /* a worker has seen a higher epoch */
-	bool store_away; /* the store is unavailable */
-	uint64_t higher_epoch; /* the highest such epoch */
+	bool higher_epoch_seen; /* by a worker */
+	bool store_unavailable;
+	uint64_t higher_epoch; /* the highest that a worker has seen */
 	uint64_t epoch;
 	int64_t revision; /* of the record that the next write replaces */
 	bool settled; /* no former owner can renew a lease any more */
@@ -333,7 +333,7 @@
 struct ledger_worker *ledger_worker_find(struct ledger *, const char *id);
 struct ledger_worker *ledger_worker_set(
     struct ledger *, const char *id, const struct resources *, int64_t now_ms);
-void ledger_worker_leaving(struct ledger_worker *, bool leaving);
+void ledger_worker_set_draining(struct ledger_worker *, bool draining);
 void ledger_worker_gone(struct ledger_worker *, int64_t now_ms);
 
 /* Send what is due.  Call it after events and periodically. */
--- a/core/ledger_commit.c
+++ b/core/ledger_commit.c
@@ -101,7 +101,7 @@
 	l->revision = revision;
 	l->committed = change;
 	l->write = WRITE_IDLE;
-	l->store_away = false;
+	l->store_unavailable = false;
 	if (sent_ms > l->confirmed_ms)
 		l->confirmed_ms = sent_ms;
 	if (l->phase == LEDGER_ACQUIRING) {
@@ -141,7 +141,7 @@
 	 * Tasks whose binds were committed earlier aren't affected.
 	 */
 	l->write = WRITE_UNKNOWN;
-	l->store_away = true;
+	l->store_unavailable = true;
 	l->read_at_ms = now_ms;
 }
 
@@ -151,7 +151,7 @@
 	if (l->write != WRITE_SENT)
 		return;
 	l->write = WRITE_IDLE;
-	l->store_away = true;
+	l->store_unavailable = true;
 	l->write_at_ms = now_ms + l->opt.retry_ms;
 }
 
@@ -177,10 +177,10 @@
 	l->reading = false;
 	l->read_at_ms = now_ms + l->opt.retry_ms;
 	if (head == NULL) {
-		l->store_away = true;
+		l->store_unavailable = true;
 		return;
 	}
-	l->store_away = false;
+	l->store_unavailable = false;
 	if (revision == l->revision) {
 		/*
 		 * The write hasn't taken effect, but still may.  The next write
@@ -196,7 +196,7 @@
 		ledger_end_ownership(l, LOST_OWNER);
 		return;
 	}
-	if (l->doubt && l->phase == LEDGER_OWNED)
+	if (l->higher_epoch_seen && l->phase == LEDGER_OWNED)
 		ledger_end_ownership(l, LOST_FENCED);
 }
 
@@ -207,14 +207,14 @@
 		return;
 	if (epoch > l->higher_epoch)
 		l->higher_epoch = epoch;
-	l->doubt = true;
+	l->higher_epoch_seen = true;
 	l->read_at_ms = now_ms;
 }
 
 void
 ledger_set_store_available(struct ledger *l, bool available)
 {
-	l->store_away = !available;
+	l->store_unavailable = !available;
 }
 
 bool
@@ -224,7 +224,7 @@
 	 * An owner that the store hasn't confirmed for hold_ms may have been
 	 * replaced, and the next owner relies on it having stopped by then.
 	 */
-	return l->phase == LEDGER_OWNED && !l->doubt &&
+	return l->phase == LEDGER_OWNED && !l->higher_epoch_seen &&
 	    now_ms + l->opt.margin_ms < l->confirmed_ms + l->opt.hold_ms;
 }
 
--- a/core/ledger_run.c
+++ b/core/ledger_run.c
@@ -62,14 +62,15 @@
 
 	if (l->reading)
 		return;
-	if (l->write == WRITE_IDLE && !l->doubt && l->change > l->committed &&
-	    now_ms >= l->write_at_ms) {
+	if (l->write == WRITE_IDLE && !l->higher_epoch_seen &&
+	    l->change > l->committed && now_ms >= l->write_at_ms) {
 		l->write = WRITE_WANTED;
 		l->opt.actions->write(l, l->opt.ctx);
 		return;
 	}
 	confirm = l->write == WRITE_IDLE &&
-	    (l->doubt || now_ms >= l->confirmed_ms + l->opt.confirm_ms);
+	    (l->higher_epoch_seen ||
+		now_ms >= l->confirmed_ms + l->opt.confirm_ms);
 	if ((confirm || l->write == WRITE_UNKNOWN) && now_ms >= l->read_at_ms) {
 		l->reading = true;
 		l->opt.actions->read_back(l, l->opt.ctx);
@@ -85,7 +86,7 @@
 	step_fence(l, w, now_ms);
 	if (!w->fenced || w->lost)
 		return;
-	if (w->leaving)
+	if (w->draining)
 		step_draining(l, w);
 	step_stops(l, w, now_ms);
 	step_starts(l, w, now_ms);
@@ -158,7 +159,7 @@
 	{
 		if (t->run == RUN_NO && t->call == CALL_NONE) {
 			/* Keep it startable while the store is unavailable. */
-			if (!l->store_away && w->fenced)
+			if (!l->store_unavailable && w->fenced)
 				ledger_unbind(l, t, "worker_lost");
 			continue;
 		}
@@ -224,7 +225,7 @@
 
 	t = TAILQ_FIRST(&l->pending);
 	return t != NULL && t->r.urgent && l->write != WRITE_UNKNOWN &&
-	    !l->store_away && now_ms >= t->retry_at_ms &&
+	    !l->store_unavailable && now_ms >= t->retry_at_ms &&
 	    now_ms - t->waits_since_ms < URGENT_FIRST_MS;
 }
 
@@ -341,7 +342,7 @@
 	int misses;
 
 	/* Don't bind while the store is unavailable. */
-	if (l->write == WRITE_UNKNOWN || l->store_away)
+	if (l->write == WRITE_UNKNOWN || l->store_unavailable)
 		return;
 	/* A task that found no room finds none until something changes. */
 	if (l->change == l->bind_change && now_ms < l->bind_at_ms)
--- a/core/lending.c
+++ b/core/lending.c
@@ -99,7 +99,7 @@
 
 	memset(&load, 0, sizeof(load));
 	for (row = credit_first(table); row != NULL; row = credit_next(row)) {
-		if (row->leaving || !filter(row, service, ctx))
+		if (row->draining || !filter(row, service, ctx))
 			continue;
 		load.held += row->spare.slots + row->busy.slots;
 		load.needed += row->busy.slots;
@@ -110,7 +110,7 @@
 static bool
 usable(const struct credit_worker *row, const struct lending_scope *scope)
 {
-	return !row->leaving && row->spare.connections > 0 &&
+	return !row->draining && row->spare.connections > 0 &&
 	    scope->filter(row, scope->service, scope->ctx);
 }
 
--- a/core/outcome.h
+++ b/core/outcome.h
@@ -41,7 +41,7 @@
 	OUTCOME_DEADLINE_PASSED,
 	OUTCOME_CALLER_GONE,
 	/* The claim of a non-idempotent request id failed. */
-	OUTCOME_STORE_AWAY,
+	OUTCOME_STORE_UNAVAILABLE,
 	OUTCOME_CLAIM_TOO_OLD,
 	OUTCOME_ALREADY_CLAIMED,
 	/* The last attempt failed and no retry is left. */
--- a/core/route.c
+++ b/core/route.c
@@ -13,7 +13,7 @@
 #define LOST_MAX 2
 /* A moved worker returns to its first choice this long after a loss. */
 #define KEEP_MS 60000
-/* Moves after which members in other data centers have their full weight. */
+/* Moves after which members in other data centres have their full weight. */
 #define LOCAL_MOVES 2
 /* Weight of a member in another data centre before that. */
 #define REMOTE_WEIGHT 0.001
--- a/core/sched_answer.c
+++ b/core/sched_answer.c
@@ -84,7 +84,7 @@
 	 * The start request may still be carried out, even after newer ones.
 	 * Once a stop is answered the worker refuses that attempt.
 	 */
-	run_want_stop(s, run);
+	run_request_stop(s, run);
 	/* The other tasks of the gang would wait for this one in vain. */
 	stop_gang(s, run->task->step);
 }
@@ -327,7 +327,7 @@
 
 /*
  * Handles a listed run that this leader did not start: adopts it, stops it if
- * it is not needed, or asks for its job if that is unknown.
+ * it is not needed, or looks its job up if that is unknown.
  */
 static struct sched_run *
 adopt_or_stop(struct sched *s, struct sched_worker *worker,
@@ -398,7 +398,7 @@
 		    run->answered_ms >= worker->poll_sent_ms)
 			continue;
 		if (run->state == RUN_RUNNING)
-			run_want_stop(s, run);
+			run_request_stop(s, run);
 		if (run->state != RUN_STOPPING)
 			continue;
 		task = run->task;
--- a/core/sched_inherit.c
+++ b/core/sched_inherit.c
@@ -25,7 +25,7 @@
 	worker->record_may = RECORD_BIT(from->record);
 	worker->record_wanted = from->record;
 	if (from->record == RECORD_EXPIRING)
-		worker->expires_ms = now_ms + from->left_ms;
+		worker->expires_ms = now_ms + from->lease_left_ms;
 	if (from->record == RECORD_IN_USE || !from->tasks_known)
 		return;
 	worker->inherited_tasks =
--- a/core/sched_int.h
+++ b/core/sched_int.h
@@ -42,7 +42,7 @@
 uint32_t run_next_attempt(const struct sched *, const struct sched_task *);
 /* Frees a run that is surely over and releases its reservation. */
 void run_settle(struct sched *, struct sched_run *);
-void run_want_stop(struct sched *, struct sched_run *);
+void run_request_stop(struct sched *, struct sched_run *);
 /* Stops all runs of the task except the given one, which may be NULL. */
 void run_stop_others(
     struct sched *, struct sched_task *, const struct sched_run *);
@@ -164,7 +164,7 @@
 void headroom_add_demand(
     struct sched_queue *, const struct graph_step *, int64_t now_ms);
 
-/* sched_leave.c */
+/* sched_drain.c */
 /* Stops long-running tasks on draining workers to restart them elsewhere. */
 void drain_move_tasks(struct sched *, int64_t now_ms);
 
--- a/core/sched_run.c
+++ b/core/sched_run.c
@@ -141,7 +141,7 @@
 }
 
 void
-run_want_stop(struct sched *s, struct sched_run *run)
+run_request_stop(struct sched *s, struct sched_run *run)
 {
 	if (run->stop_wanted)
 		return;
@@ -158,7 +158,7 @@
 
 	TAILQ_FOREACH (run, &task->runs, by_task) {
 		if (run != except)
-			run_want_stop(s, run);
+			run_request_stop(s, run);
 	}
 }
 
--- a/core/scheduler.h
+++ b/core/scheduler.h
@@ -60,11 +60,11 @@
 	bool full; /* no headroom at the last measurement */
 };
 
-#define PACE_UNKNOWN (-1) /* the answer to a pace order was lost */
+#define PACE_UNKNOWN (-1) /* no answer to a pace order */
 
 enum sched_run_state {
 	RUN_STARTING, /* start sent, not answered */
-	RUN_UNCONFIRMED, /* answer to the start lost: it may still start */
+	RUN_UNCONFIRMED, /* no answer to the start: it may still start */
 	RUN_RUNNING,
 	RUN_STOPPING /* stop answered; the end isn't listed yet */
 };
@@ -303,7 +303,7 @@
 	int64_t granted_ms; /* latest lease end sent, on its clock */
 	uint64_t processed; /* ends up to this number are processed */
 	uint64_t acknowledged; /* ends up to this one are acknowledged */
-	uint32_t failed_row; /* jobs that failed there since a success */
+	uint32_t failed_row; /* consecutive jobs that failed there */
 	const struct sched_job *failed_job; /* the last; only compared */
 	int64_t probe_ms; /* unused until then, then one task at a time */
 	int64_t isolated_until_ms; /* a suspect task runs there alone */
@@ -479,7 +479,7 @@
 	TAILQ_HEAD(, sched_queue) queues;
 	uint32_t next_serial;
 	bool frozen; /* another may lead: renew and start nothing */
-	bool store_away; /* store unavailable: poll less often */
+	bool store_unavailable; /* poll less often */
 	uint32_t starts_allowed; /* by the link, in the next sched_act() */
 	bool link_full; /* poll workers that can wait less often */
 	bool most_silent; /* presumably our link is down: keep workers */
@@ -567,7 +567,7 @@
 /* What the worker record of an earlier leader says of a worker. */
 struct sched_inherited {
 	enum worker_record record;
-	int64_t left_ms; /* RECORD_EXPIRING: time until all leases expired */
+	int64_t lease_left_ms; /* RECORD_EXPIRING: until all leases expired */
 	bool tasks_known; /* only these may run there */
 	const struct task_name *tasks;
 	size_t ntasks;
--- a/core/shard.c
+++ b/core/shard.c
@@ -5,7 +5,7 @@
 #include "shard.h"
 
 size_t
-shard_home(const char *shard, const char *const *ids, size_t n)
+shard_preferred_owner(const char *shard, const char *const *ids, size_t n)
 {
 	XXH64_hash_t seed, score, best_score;
 	size_t best, i;
@@ -26,11 +26,11 @@
 
 enum shard_verdict
 shard_evaluate(const struct shard_options *opt, const struct shard_owner *owner,
-    bool is_home, bool alone)
+    bool is_preferred, bool alone)
 {
 	int64_t silence_ms;
 
-	if (!is_home)
+	if (!is_preferred)
 		return SHARD_NO_TAKEOVER;
 	if (owner->none)
 		return SHARD_TAKE_UNOWNED;
@@ -52,15 +52,16 @@
 }
 
 bool
-shard_hand_over(const struct shard_options *opt, struct shard_home_watch *watch,
-    const char *home, const char *self, int64_t now_ms)
+shard_hand_over(const struct shard_options *opt,
+    struct shard_owner_watch *watch, const char *preferred, const char *self,
+    int64_t now_ms)
 {
-	if (strcmp(home, self) == 0) {
-		watch->home[0] = '\0';
+	if (strcmp(preferred, self) == 0) {
+		watch->preferred[0] = '\0';
 		return false;
 	}
-	if (strcmp(home, watch->home) != 0) {
-		strlcpy(watch->home, home, sizeof(watch->home));
+	if (strcmp(preferred, watch->preferred) != 0) {
+		strlcpy(watch->preferred, preferred, sizeof(watch->preferred));
 		watch->since_ms = now_ms;
 		return false;
 	}
--- a/core/shard.h
+++ b/core/shard.h
@@ -12,11 +12,12 @@
  */
 
 /*
- * Returns the index into ids of the shard's preferred owner ("home"), or n if n
- * is 0.  It is the entry with the highest rendezvous hash, so an entry that
- * joins or leaves moves only its own shards.
+ * Returns the index into ids of the shard's preferred owner, or n if n is 0. It
+ * is the entry with the highest rendezvous hash, so an entry that joins or
+ * leaves moves only its own shards.
  */
-size_t shard_home(const char *shard, const char *const *ids, size_t n);
+size_t shard_preferred_owner(
+    const char *shard, const char *const *ids, size_t n);
 
 /* State of the owner that is named in the shard's record. */
 struct shard_owner {
@@ -30,11 +31,12 @@
 
 struct shard_options {
 	int64_t silence_ms; /* of gossip, before an owner may be replaced */
-	int64_t settle_ms; /* time without change of the home before a move */
+	int64_t settle_ms; /* time without change of preferred owner before a
+			      move */
 };
 
 enum shard_verdict {
-	SHARD_NO_TAKEOVER, /* not the home, or the owner may be alive */
+	SHARD_NO_TAKEOVER, /* not preferred, or the owner may be alive */
 	SHARD_TAKE_UNOWNED, /* nobody owns it */
 	SHARD_TAKE_BACK, /* owned by this entry before a restart or conflict */
 	SHARD_TAKE_LEFT, /* the owner announced that it stopped */
@@ -43,26 +45,27 @@
 };
 
 /*
- * Whether this entry may take over the shard now.  is_home: it is the shard's
- * home.  alone: it hears no peer, so it may itself be partitioned; the silence
- * required is then doubled, and a live owner registers again within that time.
+ * Whether this entry may take over the shard now.  is_preferred: it is
+ * the shard's preferred owner.  alone: it hears no peer, so it may itself be
+ * partitioned; the silence required is then doubled, and a live owner registers
+ * again within that time.
  */
 enum shard_verdict shard_evaluate(const struct shard_options *,
-    const struct shard_owner *, bool is_home, bool alone);
+    const struct shard_owner *, bool is_preferred, bool alone);
 
-/* Tracks the home of a shard that this entry owns. */
-struct shard_home_watch {
-	char home[64]; /* "": this entry */
+/* Tracks the preferred owner of a shard that this entry owns. */
+struct shard_owner_watch {
+	char preferred[64]; /* "": this entry */
 	int64_t since_ms;
 };
 
 /*
- * Record the current home.  Returns true to hand the shard over: the same other
- * entry has been its home for settle_ms.  The delay keeps an entry that joins
- * and leaves again from moving shards.
+ * Record the current preferred owner.  Returns true to hand the shard over: the
+ * same other entry has been preferred for settle_ms.  The delay keeps an entry
+ * that joins and leaves again from moving shards.
  */
-bool shard_hand_over(const struct shard_options *, struct shard_home_watch *,
-    const char *home, const char *self, int64_t now_ms);
+bool shard_hand_over(const struct shard_options *, struct shard_owner_watch *,
+    const char *preferred, const char *self, int64_t now_ms);
 
 const char *shard_verdict_name(enum shard_verdict);
 
--- a/entry/config.c
+++ b/entry/config.c
@@ -76,10 +76,10 @@
 void
 config_tick(struct node *node, int64_t now_ms)
 {
-	const struct platform_ops *world;
+	const struct platform_ops *platform;
 	int64_t interval_ms;
 
-	world = &node->opt.platform;
+	platform = &node->opt.platform;
 	/* The leader reads often and announces newer versions. */
 	interval_ms = READ_INTERVAL_MS;
 	if (node->lead == NULL && node->config_revision != 0 &&
@@ -93,12 +93,12 @@
 	    now_ms - node->config_read_ms >= interval_ms) {
 		node->config_reading = true;
 		node->config_read_ms = now_ms;
-		node->opt.kv.range(node->opt.kv.self, world->config_prefix,
+		node->opt.kv.range(node->opt.kv.self, platform->config_prefix,
 		    NULL, on_read, node);
 	}
 	if (!node->config_watching && node->config_revision != 0) {
 		node->config_watching = true;
-		node->opt.kv.watch(node->opt.kv.self, world->config_prefix,
+		node->opt.kv.watch(node->opt.kv.self, platform->config_prefix,
 		    node->config_revision, WATCH_WAIT_MS, on_watch, node);
 	}
 }
--- a/entry/lead.c
+++ b/entry/lead.c
@@ -2,8 +2,8 @@
 #include <string.h>
 
 #include "clock.h"
-#include "log.h"
 #include "lead_int.h"
+#include "log.h"
 
 /* The leading entry: it schedules all jobs and answers requests about them. */
 
@@ -285,8 +285,9 @@
 	if (now_ms - l->tick_ms >= PAUSE_MS)
 		l->resumed_ms = now_ms;
 	l->tick_ms = now_ms;
-	l->sched->store_away = !lead_has_store(l, now_ms);
-	l->sched->frozen = l->sched->store_away && !all_follow(l, now_ms);
+	l->sched->store_unavailable = !lead_has_store(l, now_ms);
+	l->sched->frozen =
+	    l->sched->store_unavailable && !all_follow(l, now_ms);
 }
 
 static void
@@ -391,7 +392,7 @@
 }
 
 void
-lead_carried(struct lead *l, const void *message, size_t len)
+lead_handle_answers(struct lead *l, const void *message, size_t len)
 {
 	if (l == NULL || l->closed || !l->ready)
 		return;
--- a/entry/lead_calls.c
+++ b/entry/lead_calls.c
@@ -2,8 +2,8 @@
 #include <string.h>
 
 #include "clock.h"
-#include "log.h"
 #include "lead_int.h"
+#include "log.h"
 
 /* Calls to workers for the actions of the scheduler, and their answers. */
 
--- a/entry/lead_fleet.c
+++ b/entry/lead_fleet.c
@@ -2,8 +2,8 @@
 #include <string.h>
 
 #include "clock.h"
-#include "log.h"
 #include "lead_int.h"
+#include "log.h"
 
 /*
  * Watches of the store: workers that come, drain and leave, and jobs whose
--- a/entry/lead_load.c
+++ b/entry/lead_load.c
@@ -2,8 +2,8 @@
 #include <string.h>
 
 #include "clock.h"
-#include "log.h"
 #include "lead_int.h"
+#include "log.h"
 
 /*
  * Load of the state by a new leader: jobs that haven't ended, their progress,
--- a/entry/lead_record.c
+++ b/entry/lead_record.c
@@ -4,8 +4,8 @@
 #include "clock.h"
 #include "counter.h"
 #include "jsonfield.h"
-#include "log.h"
 #include "lead_int.h"
+#include "log.h"
 
 /*
  * The worker record: which workers may run tasks, and what a next leader has to
@@ -126,7 +126,7 @@
 	    load_tasks(json_array_get(row, 3), &from, &tasks)) {
 		from.record =
 		    json_array_size(row) > 4 ? RECORD_EXPIRING : RECORD_CLOSED;
-		from.left_ms = left_ms;
+		from.lease_left_ms = left_ms;
 		l->record_dirty = true;
 	}
 	sched_worker_inherit(worker, &from, now_ms);
@@ -350,7 +350,7 @@
 	    now_ms - l->record_ms >= l->record_refresh_ms)
 		l->record_dirty = true;
 	if (!l->record_dirty || l->record_in_flight ||
-	    now_ms < l->record_retry_ms || l->sched->store_away)
+	    now_ms < l->record_retry_ms || l->sched->store_unavailable)
 		return;
 	if ((write = write_new(l, now_ms)) == NULL)
 		return;
--- a/entry/lead_request.c
+++ b/entry/lead_request.c
@@ -2,8 +2,8 @@
 #include <string.h>
 
 #include "clock.h"
-#include "log.h"
 #include "lead_int.h"
+#include "log.h"
 
 /*
  * Requests about jobs, from callers through the entries and from workers that
--- a/entry/lead_save.c
+++ b/entry/lead_save.c
@@ -3,8 +3,8 @@
 
 #include "clock.h"
 #include "counter.h"
-#include "log.h"
 #include "lead_int.h"
+#include "log.h"
 
 /*
  * Writes of the leader.  Each is conditional on the leader record at our
--- a/entry/lead_sweep.c
+++ b/entry/lead_sweep.c
@@ -2,8 +2,8 @@
 
 #include "clock.h"
 #include "counter.h"
-#include "log.h"
 #include "lead_int.h"
+#include "log.h"
 
 /*
  * Removes the records of ended jobs (KEY_ENDED) that former leaders left.  A
--- a/entry/members.c
+++ b/entry/members.c
@@ -496,7 +496,7 @@
 	if (relay_is_orders(data, len))
 		relay_handle_orders(node, data, len);
 	else
-		lead_carried(node->lead, data, len);
+		lead_handle_answers(node->lead, data, len);
 }
 
 static void
--- a/entry/node_int.h
+++ b/entry/node_int.h
@@ -5,13 +5,13 @@
 
 #include <jansson.h>
 
-#include "relay.h"
 #include "codec.h"
 #include "elect.h"
 #include "node.h"
 #include "pacer.h"
 #include "peer.h"
 #include "refused.h"
+#include "relay.h"
 
 /* Internal to the files of an entry. */
 
@@ -201,7 +201,7 @@
 void lead_tick(struct lead *, int64_t now_ms);
 void lead_config(struct lead *);
 /* Answers of workers that a member relayed; lead may be NULL. */
-void lead_carried(struct lead *, const void *message, size_t len);
+void lead_handle_answers(struct lead *, const void *message, size_t len);
 /* The list of members changed. */
 void lead_members(struct lead *);
 bool lead_has_store(const struct lead *, int64_t now_ms);
--- a/entry/relay.c
+++ b/entry/relay.c
@@ -389,10 +389,10 @@
 static void
 report_late_ends(struct order_relay *c, const struct relay_answer *answer)
 {
-	if (answer->look == NULL || answer->look->nfinished == 0)
+	if (answer->poll == NULL || answer->poll->nfinished == 0)
 		return;
 	counter_inc_reason("lagoonpin_carry_late", "ends");
-	c->late(answer->worker, answer->look, c->late_ctx);
+	c->late(answer->worker, answer->poll, c->late_ctx);
 }
 
 /* A lost call may mean that this member can't reach the worker. */
@@ -411,7 +411,7 @@
 store_list(struct order_relay *c, const struct relay_answer *answer)
 {
 	running_list_put(&c->lists, answer->worker, answer->number,
-	    answer->look->running, answer->look->nrunning, clock_now_ms());
+	    answer->poll->running, answer->poll->nrunning, clock_now_ms());
 }
 
 static void
@@ -438,9 +438,9 @@
 	memset(&result, 0, sizeof(result));
 	result.answer = answer->answer;
 	result.clock_ms = answer->clock_ms;
-	result.poll = answer->look;
+	result.poll = answer->poll;
 	finish(c, order, &result);
-	if (answer->look != NULL)
+	if (answer->poll != NULL)
 		store_list(c, answer);
 }
 
--- a/entry/relay_member.c
+++ b/entry/relay_member.c
@@ -133,7 +133,7 @@
 	}
 	lists = &call->node->lists;
 	answer.worker = call->worker;
-	answer.look = result->poll;
+	answer.poll = result->poll;
 	base = call->base != 0 ?
 	    running_list_find(lists, call->worker, call->base) :
 	    NULL;
--- a/entry/relayread.c
+++ b/entry/relayread.c
@@ -227,10 +227,10 @@
 		r->error = WIRE_ERR_MEMORY;
 	poll.running = running;
 	poll.finished = finished;
-	answer->look = &poll;
+	answer->poll = &poll;
 	if (r->error == WIRE_OK && d->to->answer != NULL)
 		d->to->answer(answer, d->to->ctx);
-	answer->look = NULL;
+	answer->poll = NULL;
 	free(running);
 	free(finished);
 }
--- a/entry/relaywire.c
+++ b/entry/relaywire.c
@@ -233,7 +233,7 @@
 	msgpack_packer pk;
 	size_t i;
 
-	poll = answer->look;
+	poll = answer->poll;
 	msgpack_packer_init(&pk, &w->items, msgpack_sbuffer_write);
 	msgpack_pack_array(
 	    &pk, poll != NULL ? POLL_ANSWER_ITEMS : ANSWER_ITEMS);
--- a/entry/relaywire.h
+++ b/entry/relaywire.h
@@ -63,7 +63,7 @@
 	int64_t clock_ms; /* the worker's clock; 0: unknown */
 	const char *worker; /* of a successful poll; else NULL */
 	/* Of a successful poll; with ANSWER_LOST, only the finished tasks. */
-	const struct poll_result *look;
+	const struct poll_result *poll;
 	/* Set by the reader: poll that the rows are a delta to; 0: none. */
 	uint64_t base;
 };
--- a/lagoonpind/batch.c
+++ b/lagoonpind/batch.c
@@ -182,7 +182,7 @@
 		log_error("worker_not_added", "worker=%s", v->info.id);
 		return;
 	}
-	ledger_worker_leaving(w, v->info.state == VM_LEAVING);
+	ledger_worker_set_draining(w, v->info.state == VM_LEAVING);
 	w->data = batch_worker_get(s->batch, v->info.id);
 }
 
@@ -380,7 +380,7 @@
 	(void)ctx;
 	s = batch_shard_find(e->batch, shard);
 	if (s == NULL || s->ledger == NULL ||
-	    s->ledger->phase != LEDGER_OWNED || s->ledger->doubt)
+	    s->ledger->phase != LEDGER_OWNED || s->ledger->higher_epoch_seen)
 		return;
 	now_ms = clock_now_ms();
 	if (now_ms - s->ledger->taken_ms < EPOCH_MIN_AGE_MS)
--- a/lagoonpind/batch.h
+++ b/lagoonpind/batch.h
@@ -60,7 +60,7 @@
 	int64_t next_try_ms;
 	int64_t found_ms; /* first seen without an owner, for logs; 0: owned */
 	uint64_t min_epoch; /* highest epoch that a worker has seen */
-	struct shard_home_watch home;
+	struct shard_owner_watch home;
 	enum inbox_phase inbox;
 	int64_t inbox_revision; /* of the read after the takeover */
 	struct inbox_entries items;
--- a/lagoonpind/borrow.c
+++ b/lagoonpind/borrow.c
@@ -229,7 +229,7 @@
 	memset(&load, 0, sizeof(load));
 	for (row = credit_first(e->lend->table); row != NULL;
 	     row = credit_next(row)) {
-		if (row->leaving)
+		if (row->draining)
 			continue;
 		load.held += row->spare.slots + row->busy.slots;
 		load.needed += row->busy.slots;
--- a/lagoonpind/call_claim.c
+++ b/lagoonpind/call_claim.c
@@ -157,7 +157,7 @@
 {
 	static const enum outcome_reason reasons[] = {
 		[CLAIM_REFUSED_DUPLICATE] = OUTCOME_ALREADY_CLAIMED,
-		[CLAIM_REFUSED_STORE] = OUTCOME_STORE_AWAY,
+		[CLAIM_REFUSED_STORE] = OUTCOME_STORE_UNAVAILABLE,
 		[CLAIM_REFUSED_EXPIRED] = OUTCOME_CLAIM_TOO_OLD,
 	};
 	struct cached_response kept;
--- a/lagoonpind/call_credit.c
+++ b/lagoonpind/call_credit.c
@@ -139,7 +139,7 @@
 
 	is_usable = endpoint_usable(ep, now_ms);
 	for (i = 0; i < NLANES; i++) {
-		ep->lanes[i].ce.leaving = !is_usable;
+		ep->lanes[i].ce.draining = !is_usable;
 		ep->lanes[i].ce.credits = free_credits(ep, (enum call_lane)i);
 	}
 	for (j = 0; j < ep->nmembers; j++)
--- a/lagoonpind/lend.c
+++ b/lagoonpind/lend.c
@@ -103,7 +103,8 @@
 	(void)change;
 	if (vm->info.kind != VM_WORKER)
 		return;
-	credit_leaving(e->lend->table, vm->info.id, vm->info.state != VM_LIVE);
+	credit_set_draining(
+	    e->lend->table, vm->info.id, vm->info.state != VM_LIVE);
 	if (vm->info.state == VM_GONE)
 		credit_forget(e->lend->table, vm->info.id);
 }
@@ -149,7 +150,7 @@
 	if (error != CREDIT_OK)
 		counter_inc_reason(
 		    "lagoonpin_lend_refused", credit_strerror(error));
-	credit_leaving(e->lend->table, worker, vm->info.state != VM_LIVE);
+	credit_set_draining(e->lend->table, worker, vm->info.state != VM_LIVE);
 }
 
 void
--- a/lagoonpind/task_bind.c
+++ b/lagoonpind/task_bind.c
@@ -44,7 +44,7 @@
 	b = &bw->bind;
 	b->capacity = w->room.capacity;
 	b->reserved = w->room.used;
-	b->leaving = w->leaving;
+	b->draining = w->draining;
 	b->tasks = TAILQ_EMPTY(&w->tasks) ? 0 : 1;
 	pressure = 0;
 	for (i = 0; i < bw->nservices; i++) {
--- a/lagoonpind/task_evict.c
+++ b/lagoonpind/task_evict.c
@@ -495,7 +495,7 @@
 	int64_t waited_ms;
 	int moves;
 
-	if (s->ledger == NULL || s->lost || s->ledger->store_away ||
+	if (s->ledger == NULL || s->lost || s->ledger->store_unavailable ||
 	    !ledger_may_send(s->ledger, now_ms))
 		return;
 	moves = 0;
--- a/lagoonpind/task_inbox.c
+++ b/lagoonpind/task_inbox.c
@@ -422,7 +422,7 @@
 		return;
 	}
 	/* Accept nothing while the outcome of a write is unknown. */
-	if (s->inbox != INBOX_READY || s->ledger->store_away ||
+	if (s->inbox != INBOX_READY || s->ledger->store_unavailable ||
 	    s->ledger->write == WRITE_UNKNOWN)
 		return;
 	n = 0;
--- a/lagoonpind/task_own.c
+++ b/lagoonpind/task_own.c
@@ -66,7 +66,7 @@
 	size_t n, at;
 
 	n = own_live_entries(s->batch, ids, BATCH_LIVE_MAX, now_ms);
-	at = shard_home(s->name, ids, n);
+	at = shard_preferred_owner(s->name, ids, n);
 	*home = at < n ? ids[at] : "";
 	return strcmp(*home, s->batch->entry->opt.id) == 0;
 }
@@ -89,7 +89,7 @@
 	}
 	if (s->ledger->phase != LEDGER_OWNED || is_home(s, &home, now_ms) ||
 	    home[0] == '\0') {
-		s->home.home[0] = '\0';
+		s->home.preferred[0] = '\0';
 		return;
 	}
 	if (!shard_hand_over(
@@ -307,7 +307,7 @@
 	add_workers(s, now_ms);
 	ledger_acquire(s->ledger, &doc->head, revision, s->min_epoch, now_ms);
 	s->inbox = INBOX_UNREAD;
-	s->home.home[0] = '\0';
+	s->home.preferred[0] = '\0';
 	log_info("shard_take",
 	    "shard=%s epoch=%llu from=%s reason=%s tasks=%zu", s->name,
 	    (unsigned long long)s->ledger->epoch,
--- a/lagoonpind/task_retire.c
+++ b/lagoonpind/task_retire.c
@@ -44,7 +44,7 @@
 		return;
 	b->next_retire_ms = now_ms + RETIRE_INTERVAL_MS;
 	n = own_live_entries(b, ids, BATCH_LIVE_MAX, now_ms);
-	at = shard_home(BATCH_JOB_PREFIX, ids, n);
+	at = shard_preferred_owner(BATCH_JOB_PREFIX, ids, n);
 	if (at == n || strcmp(ids[at], b->entry->opt.id) != 0)
 		return;
 	if ((r = calloc(1, sizeof(*r))) == NULL)
--- a/lagoonreplay/baseline.c
+++ b/lagoonreplay/baseline.c
@@ -28,13 +28,13 @@
 static int
 usable(const struct choose_endpoint *e)
 {
-	return e->credits > 0 && !e->leaving;
+	return e->credits > 0 && !e->draining;
 }
 
 static int
 worker_usable(struct world *w, int vm, const struct task *t)
 {
-	return !w->vms[vm].bind.leaving &&
+	return !w->vms[vm].bind.draining &&
 	    world_fits(w, &w->vms[vm], &t->reserved);
 }
 
--- a/lagoonreplay/faults.c
+++ b/lagoonreplay/faults.c
@@ -36,9 +36,9 @@
 {
 	int i;
 
-	vm->bind.leaving = leaving;
+	vm->bind.draining = leaving;
 	for (i = 0; i < w->trace->head.entries; i++)
-		w->endpoints[i * w->trace->nworkers + vm->index]->leaving =
+		w->endpoints[i * w->trace->nworkers + vm->index]->draining =
 		    leaving;
 	if (leaving)
 		lose_vm(w, vm);
--- a/tests/ledger_world.cc
+++ b/tests/ledger_world.cc
@@ -619,7 +619,7 @@
 		break;
 	case LEAVE:
 		remaining.evicts--;
-		ledger_worker_leaving(
+		ledger_worker_set_draining(
 		    ledger_worker_find(nodes[ev.a].ledger, worker_ids[ev.b]),
 		    true);
 		step(ev.a);
--- a/tests/ledger_world_key.cc
+++ b/tests/ledger_world_key.cc
@@ -50,8 +50,8 @@
 	struct ledger_task *t;
 
 	put(out,
-	    l->phase * 64 + l->write * 8 + l->reading * 4 + l->doubt * 2 +
-		l->store_away);
+	    l->phase * 64 + l->write * 8 + l->reading * 4 +
+		l->higher_epoch_seen * 2 + l->store_unavailable);
 	put(out, (int64_t)l->epoch);
 	put(out, l->revision);
 	put(out, (int64_t)l->change);
@@ -65,7 +65,7 @@
 		put(out,
 		    w->fenced * 16 + w->fence_call * 8 + w->renew_call * 4 +
 			w->fence_wanted * 2 + w->lost);
-		put(out, w->waiting * 2 + w->leaving);
+		put(out, w->waiting * 2 + w->draining);
 		put(out, w->room.used.cpu_millis);
 		put(out, w->heard_ms);
 		put(out, w->lease_sent_ms);
--- a/tests/test_bind.cc
+++ b/tests/test_bind.cc
@@ -239,7 +239,7 @@
 	task.resumed = 0;
 	health_probe_sent(&workers[0].health);
 	EXPECT_EQ(bind().index, 1);
-	workers[1].leaving = 1;
+	workers[1].draining = 1;
 	EXPECT_EQ(bind().reason, BIND_ALL_FAILING);
 }
 
@@ -299,7 +299,7 @@
 	for (auto &w : workers)
 		all.push_back(&w);
 	workers[0].work_ms = 100000;
-	workers[1].leaving = 1;
+	workers[1].draining = 1;
 	workers[2].health.retry_ms = now + 1;
 	for (int i = 0; i < 3; i++) {
 		bind_result r = bind_ahead(
--- a/tests/test_choose.cc
+++ b/tests/test_choose.cc
@@ -144,7 +144,7 @@
 	EXPECT_EQ(pick().reason, CHOOSE_ONLY_CANDIDATE);
 	EXPECT_EQ(pick().index, 1);
 	EXPECT_EQ(pick(1, 1).reason, CHOOSE_NO_CREDIT);
-	endpoints[1].leaving = 1;
+	endpoints[1].draining = 1;
 	EXPECT_EQ(pick().reason, CHOOSE_ALL_LEAVING);
 	EXPECT_EQ(pick().index, -1);
 }
--- a/tests/test_credit.cc
+++ b/tests/test_credit.cc
@@ -100,7 +100,7 @@
 	EXPECT_EQ(1, Row()->spare.slots);
 	EXPECT_EQ(CREDIT_ERR_INVALID,
 	    credit_release(table, "w1", 3, CREDIT_CALL, CREDIT_ENDED));
-	credit_leaving(table, "w1", true);
+	credit_set_draining(table, "w1", true);
 	EXPECT_EQ(0, credit_spare(table).slots);
 	EXPECT_EQ(
 	    CREDIT_ERR_LEAVING, credit_take(table, "w1", CREDIT_WATCH, &epoch));
--- a/tests/test_lending.cc
+++ b/tests/test_lending.cc
@@ -24,7 +24,7 @@
 		for (int i = 0; i < 6; i++)
 			credit_issue(table, ("w" + std::to_string(i)).c_str(),
 			    "r1", 1, { 8, 64 }, { 0, 0 });
-		credit_leaving(table, "w5", true);
+		credit_set_draining(table, "w5", true);
 	}
 	void
 	TearDown() override
--- a/tests/test_outcome.cc
+++ b/tests/test_outcome.cc
@@ -81,7 +81,7 @@
 {
 	outcome_facts f = {};
 	f.repeated = true;
-	outcome_answer a = outcome_derive(&f, OUTCOME_STORE_AWAY, 2000);
+	outcome_answer a = outcome_derive(&f, OUTCOME_STORE_UNAVAILABLE, 2000);
 	EXPECT_EQ(a.outcome, OUTCOME_UNKNOWN);
 	EXPECT_EQ(a.status, 502);
 	EXPECT_EQ(a.retry_after_s, 2);
--- a/tests/test_relaywire.cc
+++ b/tests/test_relaywire.cc
@@ -73,8 +73,8 @@
 		Answer got;
 
 		got.answer = *answer;
-		if (answer->look != nullptr) {
-			const struct poll_result *look = answer->look;
+		if (answer->poll != nullptr) {
+			const struct poll_result *look = answer->poll;
 			got.worker = answer->worker;
 			got.running.assign(
 			    look->running, look->running + look->nrunning);
@@ -128,7 +128,7 @@
 		answer.number = number;
 		answer.clock_ms = 100;
 		answer.worker = "i-1";
-		answer.look = &look;
+		answer.poll = &look;
 		relay_write_answer(&writer, &answer,
 		    base != 0 ? running_list_find(&member, "i-1", base) :
 				nullptr);
--- a/tests/test_shard.cc
+++ b/tests/test_shard.cc
@@ -18,8 +18,8 @@
 
 	for (int i = 0; i < 200; i++) {
 		std::string shard = "dc.rack" + std::to_string(i);
-		out.push_back(
-		    ids[shard_home(shard.c_str(), ids.data(), ids.size())]);
+		out.push_back(ids[shard_preferred_owner(
+		    shard.c_str(), ids.data(), ids.size())]);
 	}
 	return out;
 }
@@ -39,7 +39,7 @@
 	}
 	EXPECT_GT(of_e2, 20);
 	EXPECT_LT(of_e2, 60);
-	EXPECT_EQ(shard_home("dc.r", nullptr, 0), 0U);
+	EXPECT_EQ(shard_preferred_owner("dc.r", nullptr, 0), 0U);
 }
 
 /*
@@ -73,7 +73,7 @@
 
 TEST(Shard, MovesOnlyToAStableHome)
 {
-	struct shard_home_watch watch = {};
+	struct shard_owner_watch watch = {};
 
 	EXPECT_FALSE(shard_hand_over(&options, &watch, "e1", "e1", 0));
 	EXPECT_FALSE(shard_hand_over(&options, &watch, "e2", "e1", 1));
