--- a/lagoonpinctl/call.c
+++ b/lagoonpinctl/call.c
@@ -6,10 +6,10 @@
 #include "record.h"
 
 #define NHEADERS 6
-#define GRACE_MS 2000 /* on top of the deadline, for the answer to arrive */
+#define RESPONSE_GRACE_MS 2000 /* beyond the deadline, for the response */
 
 static enum ctl_status outcome_status(const struct ctl_answer *);
-static void on_piece(struct httpc_call *, const char *, size_t, void *);
+static void on_chunk(struct httpc_call *, const char *, size_t, void *);
 static void report(struct ctl *, const struct ctl_answer *, const char *);
 static size_t make_headers(struct ctl *, struct httpc_header *, char *, char *);
 static bool make_body(struct ctl *, char **, size_t *);
@@ -27,7 +27,7 @@
 }
 
 static void
-on_piece(struct httpc_call *call, const char *data, size_t len, void *ctx)
+on_chunk(struct httpc_call *call, const char *data, size_t len, void *ctx)
 {
 	struct ctl *ctl;
 
@@ -37,8 +37,8 @@
 	fflush(ctl->out);
 }
 
-/* The answer's body goes to the output as it is, what is said about it to
- * the error output; as JSON both in one object. */
+/* Prints the body unchanged to out and the outcome to err; with --json both
+ * in one object. */
 static void
 report(struct ctl *ctl, const struct ctl_answer *a, const char *id)
 {
@@ -113,8 +113,8 @@
 		*body = ctl_read_file(ctl->opt.file, len);
 	}
 	if (*body == NULL)
-		fprintf(ctl->err, "lagoonpinctl: %s: can't be read\n",
-		    ctl->opt.file);
+		fprintf(
+		    ctl->err, "lagoonpinctl: %s: cannot read\n", ctl->opt.file);
 	return *body != NULL;
 }
 
@@ -130,7 +130,7 @@
 
 	(void)noun;
 	if (!record_name_ok(args->at[0])) {
-		fprintf(ctl->err, "lagoonpinctl: \"%s\": not a service\n",
+		fprintf(ctl->err, "lagoonpinctl: \"%s\": not a service name\n",
 		    args->at[0]);
 		return CTL_USAGE;
 	}
@@ -140,11 +140,12 @@
 	r.body = body;
 	r.headers = headers;
 	r.nheaders = make_headers(ctl, headers, deadline, id);
-	/* A watch that broke has shown part of its answer already. */
+	/* An interrupted watch has already printed part of its response. */
 	r.repeatable = ctl->opt.idempotent && !ctl->opt.watch;
-	r.timeout_ms = ctl->opt.watch ? 0 : ctl->opt.deadline_ms + GRACE_MS;
+	r.timeout_ms =
+	    ctl->opt.watch ? 0 : ctl->opt.deadline_ms + RESPONSE_GRACE_MS;
 	if (ctl->opt.watch)
-		r.on_data = on_piece;
+		r.on_data = on_chunk;
 	r.ctx = ctl;
 	ctl_call(ctl, &r, &a);
 	status = outcome_status(&a);
--- a/lagoonpinctl/commands.c
+++ b/lagoonpinctl/commands.c
@@ -9,7 +9,7 @@
 #define ARGS_MAX 1000
 #define NSETTINGS 16
 
-/* Which settings a command takes, besides those that all take. */
+/* Settings that a command accepts besides the common ones. */
 enum {
 	TAKES_REVISION = 1 << 0,
 	TAKES_SCHEMA = 1 << 1,
@@ -50,7 +50,7 @@
 	    CHANGE | TAKES_SCHEMA | TAKES_FILE, record_create,
 	    "create a service" },
 	{ "service", "show", "NAME", 1, 1, TAKES_SCHEMA, record_show,
-	    "show a service, in its own schema or another" },
+	    "show a service, in its own or another schema version" },
 	{ "service", "list", NULL, 0, 0, 0, record_list, "list the services" },
 	{ "service", "set", "NAME [FIELD=VALUE...]", 1, ARGS_MAX,
 	    CHANGE | TAKES_REVISION | TAKES_SCHEMA | TAKES_FILE, record_set,
@@ -77,7 +77,7 @@
 	    CHANGE | TAKES_REVISION | TAKES_SCHEMA | TAKES_FILE, record_set,
 	    "change the policy" },
 	{ "policy", "delete", NULL, 0, 0, CHANGE | TAKES_REVISION,
-	    record_delete, "go back to the built-in policy" },
+	    record_delete, "restore the built-in policy" },
 	{ "job", "submit", "[ID] [FIELD=VALUE...]", 0, ARGS_MAX,
 	    TAKES_SCHEMA | TAKES_FILE, job_submit, "submit a job" },
 	{ "job", "show", "ID", 1, 1, 0, job_show, "show a job" },
@@ -95,14 +95,14 @@
 	    CHANGE | TAKES_REVISION | TAKES_SCHEMA | TAKES_FILE, config_set,
 	    "change a record" },
 	{ "config", "history", "KIND [NAME]", 1, 2, 0, config_history,
-	    "list what a record's changes replaced" },
+	    "list the earlier versions of a record" },
 	{ "config", "wait", "REVISION", 1, 1, TAKES_DEADLINE, config_wait,
 	    "wait until a revision is in force on every live entry" },
 	{ "explain", NULL, "[job|task|request] ID", 1, 2, 0, explain_show,
-	    "say why something was done" },
+	    "explain a scheduling decision" },
 	{ "call", NULL, "SERVICE", 1, 1,
 	    TAKES_FILE | TAKES_TEAM | TAKES_DEADLINE | TAKES_CALL, call_run,
-	    "call a service and print its answer" },
+	    "call a service and print the response" },
 };
 #define NCOMMANDS (sizeof(commands) / sizeof(commands[0]))
 
@@ -135,20 +135,20 @@
 		    c->args_doc == NULL ? "" : c->args_doc, c->doc);
 }
 
-/* What was read before the command is the default after it. */
+/* Values given before the command are the defaults after it. */
 static size_t
 add_common(struct ctl_options *o, struct setting *table, bool after)
 {
 	static char entries[TEXT_SIZE], timeout[NAME_SIZE];
 	const struct setting common[] = {
 		{ "entry", "LAGOONPINCTL_ENTRY",
-		    "entries to ask, the next one when one can't be reached",
-		    NULL, SETTING_IP_PORTS, &o->entries, 1, 0, "127.0.0.1:7400",
-		    NULL, NULL },
+		    "entries to try in order until one responds", NULL,
+		    SETTING_IP_PORTS, &o->entries, 1, 0, "127.0.0.1:7400", NULL,
+		    NULL },
 		{ "json", "LAGOONPINCTL_JSON", "print JSON", NULL, SETTING_BOOL,
 		    &o->json, 0, 0, "no", NULL, NULL },
 		{ "timeout-ms", "LAGOONPINCTL_TIMEOUT_MS",
-		    "longest wait for one answer", "ms", SETTING_INTEGER,
+		    "timeout of one request", "ms", SETTING_INTEGER,
 		    &o->timeout_ms, 1, 3600000, "15000", NULL, NULL },
 	};
 	size_t i;
@@ -191,7 +191,7 @@
 	} all[] = {
 		{ TAKES_REVISION,
 		    { "revision", NULL,
-			"the record's revision that you saw; -1: read it now",
+			"expected revision of the record; -1: the current one",
 			NULL, SETTING_INTEGER, &o->revision, -1, INT64_MAX,
 			"-1", NULL, NULL } },
 		{ TAKES_SCHEMA,
@@ -199,7 +199,8 @@
 			NULL, SETTING_INTEGER, &o->schema, 0, 1000, "0", NULL,
 			NULL } },
 		{ TAKES_FILE,
-		    { "file", NULL, "read it from this file; -: standard input",
+		    { "file", NULL,
+			"read the input from this file; -: standard input",
 			NULL, SETTING_STRING, &o->file, 1, 4096, "", NULL,
 			NULL } },
 		{ TAKES_TEAM,
@@ -209,31 +210,31 @@
 		    { "job", NULL, "only tasks of this job", NULL,
 			SETTING_STRING, &o->job, 1, 64, "", NULL, NULL } },
 		{ TAKES_DEADLINE,
-		    { "deadline-ms", NULL, "longest wait for the outcome", "ms",
-			SETTING_INTEGER, &o->deadline_ms, 1, 86400000, "10000",
-			NULL, NULL } },
+		    { "deadline-ms", NULL, "deadline", "ms", SETTING_INTEGER,
+			&o->deadline_ms, 1, 86400000, "10000", NULL, NULL } },
 		{ TAKES_WAIT,
-		    { "wait", NULL, "wait until it is in force everywhere",
-			NULL, SETTING_BOOL, &o->wait, 0, 0, "no", NULL,
-			NULL } },
+		    { "wait", NULL,
+			"wait until the change is in force everywhere", NULL,
+			SETTING_BOOL, &o->wait, 0, 0, "no", NULL, NULL } },
 		{ TAKES_CALL,
 		    { "body", NULL, "body of the call", NULL, SETTING_STRING,
 			&o->body, 0, 65536, "", NULL, NULL } },
 		{ TAKES_CALL,
-		    { "request-id", NULL, "id of the request; made up if empty",
+		    { "request-id", NULL, "request id; generated if empty",
 			NULL, SETTING_STRING, &o->request_id, 1, 100, "", NULL,
 			NULL } },
 		{ TAKES_CALL,
-		    { "idempotent", NULL, "the call may be run twice", NULL,
+		    { "idempotent", NULL,
+			"the call is idempotent and may be retried", NULL,
 			SETTING_BOOL, &o->idempotent, 0, 0, "no", NULL,
 			NULL } },
 		{ TAKES_CALL,
 		    { "priority", NULL, "priority", NULL, SETTING_WORD,
 			&o->priority, 0, 0, "normal", NULL, priorities } },
 		{ TAKES_CALL,
-		    { "watch", NULL, "a standing watch: print as it comes",
-			NULL, SETTING_BOOL, &o->watch, 0, 0, "no", NULL,
-			NULL } },
+		    { "watch", NULL,
+			"streamed response: print it as it arrives", NULL,
+			SETTING_BOOL, &o->watch, 0, 0, "no", NULL, NULL } },
 	};
 	size_t i, n;
 
@@ -283,7 +284,7 @@
 	int words;
 
 	options.program = PROGRAM;
-	options.doc = "steer lagoonpin and call its services\v"
+	options.doc = "control lagoonpin and call its services\v"
 		      "Without a command, lists the commands.";
 	options.args_doc = "COMMAND [ARG...]";
 	options.table = table;
--- a/lagoonpinctl/config.c
+++ b/lagoonpinctl/config.c
@@ -11,8 +11,8 @@
 static enum ctl_status
 bad_kind(struct ctl *ctl)
 {
-	fprintf(
-	    ctl->err, "lagoonpinctl: give service NAME, team NAME or policy\n");
+	fprintf(ctl->err,
+	    "lagoonpinctl: expected service NAME, team NAME or policy\n");
 	return CTL_USAGE;
 }
 
@@ -27,8 +27,8 @@
 	return args->at[0];
 }
 
-/* Without arguments: the revision in force at one entry, and what it refused.
- * With a kind and a name: the record. */
+/* Without arguments, shows the revision in force at one entry and the records
+ * that it refused; with a kind and a name, the record. */
 enum ctl_status
 config_get(struct ctl *ctl, const char *noun, const struct settings_args *args)
 {
--- a/lagoonpinctl/ctl.h
+++ b/lagoonpinctl/ctl.h
@@ -13,32 +13,32 @@
 #include "settings.h"
 
 /*
- * The operators' and callers' command line.  A command makes one or a few
- * HTTP calls to an entry, prints the answer as aligned columns or as JSON,
- * and ends with one of the statuses below.
+ * Command line client for operators and callers.  A command sends one or
+ * more HTTP requests to an entry, prints the response as aligned columns or
+ * as JSON, and exits with one of the statuses below.
  */
 
 enum ctl_status {
 	CTL_OK = 0,
-	CTL_REFUSED = 1, /* the answer says no; nothing was done */
+	CTL_REFUSED = 1, /* the entry refused; nothing was changed */
 	CTL_USAGE = SETTINGS_EXIT,
-	CTL_UNREACHABLE = 3, /* no entry answered; nothing was done */
-	CTL_CONFLICT = 4, /* the record isn't at the revision that was seen */
-	CTL_UNKNOWN = 5, /* it may have been done */
-	CTL_NOT_IN_FORCE = 6 /* config wait: not everywhere in time */
+	CTL_UNREACHABLE = 3, /* no entry responded; nothing was changed */
+	CTL_CONFLICT = 4, /* the record is not at the expected revision */
+	CTL_UNKNOWN = 5, /* outcome unknown: it may have taken effect */
+	CTL_NOT_IN_FORCE = 6 /* config wait: deadline passed */
 };
 
 #define CTL_PATH_SIZE 512
 #define CTL_HEADER_SIZE 128
 #define CTL_INPUT_MAX (16 << 20) /* bytes read from a file or stdin */
 
-/* Settings; which ones a command takes stands in commands.c. */
+/* Settings; commands.c lists the ones that each command accepts. */
 struct ctl_options {
 	struct setting_addresses entries;
 	bool json;
-	int64_t timeout_ms; /* of one call */
-	int64_t revision; /* the one the operator saw; -1: read it now */
-	int64_t schema; /* 0: as the record was written */
+	int64_t timeout_ms; /* of one request */
+	int64_t revision; /* expected revision; -1: read the current one */
+	int64_t schema; /* 0: the schema the record was written in */
 	const char *file; /* "-": standard input; "": none */
 	const char *team;
 	const char *job;
@@ -67,10 +67,10 @@
 	size_t len;
 	const struct httpc_header *headers;
 	size_t nheaders;
-	/* Doing it twice is the same as once: another entry may be tried even
-	 * if the first one may have acted. */
+	/* Idempotent: may be sent to another entry even if the first one may
+	 * have carried it out. */
 	bool repeatable;
-	int64_t timeout_ms; /* 0: none; < 0: the setting */
+	int64_t timeout_ms; /* 0: none; < 0: opt.timeout_ms */
 	httpc_data *on_data; /* NULL: collect the body */
 	void *ctx;
 };
@@ -87,58 +87,58 @@
 	char retry_after[CTL_HEADER_SIZE];
 };
 
-/* 0, or -1 without memory. */
+/* Returns 0, or -1 on failure. */
 int ctl_open(struct ctl *);
 void ctl_close(struct ctl *);
-/* Ask the entries in turn; returns when one answered or all were tried. */
+/* Tries the entries in order until one responds or none is left. */
 void ctl_call(struct ctl *, const struct ctl_request *, struct ctl_answer *);
 void ctl_answer_free(struct ctl_answer *);
-/* The status that an answer stands for; says why on err if it isn't OK. */
-enum ctl_status ctl_judge(struct ctl *, const struct ctl_answer *);
-/* GET a path and parse the answer; NULL with *status set otherwise. */
+/* Maps a response to an exit status; prints the reason to err unless OK. */
+enum ctl_status ctl_answer_status(struct ctl *, const struct ctl_answer *);
+/* GETs a path and parses the JSON; on failure NULL with *status set. */
 json_t *ctl_get(struct ctl *, const char *path, enum ctl_status *status);
 
-/* targets.c: every entry that is to be asked, not only the first to answer. */
+/* targets.c: all live entries, for requests that go to each of them. */
 struct ctl_target {
 	char id[CTL_HEADER_SIZE];
 	struct setting_address address;
 };
 
 /*
- * The live entries as some entry knows them; the caller frees *targets.
- * With *status not CTL_OK there are none.
+ * Lists the live entries as reported by one entry; the caller frees
+ * *targets.  On failure returns 0 with *status set.
  */
 size_t ctl_targets(
     struct ctl *, struct ctl_target **targets, enum ctl_status *status);
-/* The URL of a path at an address; returns buf. */
+/* Formats the URL of a path at an address; returns buf. */
 const char *ctl_url(
     const struct setting_address *, const char *path, char *buf, size_t size);
 
 /* fields.c */
 /*
- * Set FIELD=VALUE in an object: GROUP.FIELD goes into an object of its own,
- * integers and JSON objects are taken as such, all else as text; an empty
- * VALUE removes the field.  false: not of that form.
+ * Sets FIELD=VALUE in an object.  GROUP.FIELD sets a field of a nested
+ * object; integers and JSON objects are parsed, any other value is a string;
+ * an empty VALUE removes the field.  Returns false on a syntax error.
  */
 bool ctl_field_set(json_t *object, const char *text);
-/* Read a file, or standard input for "-", up to CTL_INPUT_MAX bytes. */
+/* Reads a file, or standard input for "-", up to CTL_INPUT_MAX bytes. */
 char *ctl_read_file(const char *path, size_t *len);
 
 /* print.c */
-/* One "field  value" a line, groups as GROUP.FIELD. */
+/* Prints one "field  value" per line, nested fields as GROUP.FIELD. */
 void ctl_print_object(FILE *, json_t *object);
-/* A line for each object of the array, with aligned columns. */
+/* Prints one line per object of the array, in aligned columns. */
 void ctl_print_table(FILE *, json_t *array);
 void ctl_print_json(FILE *, json_t *);
 
 /* show.c */
 /*
- * GET a path and print the answer: as JSON if that was asked for, else its
- * array of the name list as a table, or with list NULL the whole object.
+ * GETs a path and prints the response: as JSON with --json, else the array
+ * in its field list as a table, or the whole object if list is NULL.
  */
 enum ctl_status ctl_show(struct ctl *, const char *path, const char *list);
 
-/* Commands: each prints and returns the exit status. */
+/* Commands: each prints its result and returns the exit status. */
 typedef enum ctl_status ctl_run(
     struct ctl *, const char *noun, const struct settings_args *);
 ctl_run record_create, record_show, record_list, record_set, record_delete;
@@ -148,11 +148,11 @@
 ctl_run explain_show;
 ctl_run call_run;
 
-/* wait.c: until every live entry has that revision in force, or
- * opt.deadline_ms; prints one line for each. */
+/* wait.c: waits until the revision is in force on every live entry, at
+ * most opt.deadline_ms; prints one line per entry. */
 enum ctl_status ctl_wait(struct ctl *, int64_t wanted);
 
-/* commands.c: choose and run a command; argv[0] is the program. */
+/* commands.c: parses the arguments and runs the command. */
 enum ctl_status ctl_main(struct ctl *, int argc, char **argv);
 
 #endif /* CTL_H */
--- a/lagoonpinctl/jobs.c
+++ b/lagoonpinctl/jobs.c
@@ -28,7 +28,7 @@
 	r.len = strlen(text);
 	ctl_call(ctl, &r, &a);
 	free(text);
-	status = ctl_judge(ctl, &a);
+	status = ctl_answer_status(ctl, &a);
 	answer = a.body == NULL ? NULL : json_loadb(a.body, a.len, 0, NULL);
 	if (answer != NULL && ctl->opt.json)
 		ctl_print_json(ctl->out, answer);
@@ -42,7 +42,7 @@
 	return status;
 }
 
-/* From a file, then the fields given on the command line. */
+/* Reads the file if given, then applies the fields of the command line. */
 static json_t *
 job_record(
     struct ctl *ctl, const struct settings_args *args, enum ctl_status *status)
@@ -74,7 +74,7 @@
 	if (wrong == NULL)
 		return job;
 	fprintf(ctl->err, "lagoonpinctl: \"%s\": not %s\n", wrong,
-	    wrong == ctl->opt.file ? "a file of JSON" : "FIELD=VALUE");
+	    wrong == ctl->opt.file ? "a JSON object" : "FIELD=VALUE");
 	json_decref(job);
 	*status = CTL_USAGE;
 	return NULL;
@@ -101,7 +101,7 @@
 
 	(void)noun;
 	if (!record_name_ok(args->at[0])) {
-		fprintf(ctl->err, "lagoonpinctl: \"%s\": not a job's id\n",
+		fprintf(ctl->err, "lagoonpinctl: \"%s\": not a job id\n",
 		    args->at[0]);
 		return CTL_USAGE;
 	}
@@ -121,7 +121,7 @@
 	return ctl_show(ctl, path, "jobs");
 }
 
-/* Cancelling what is cancelled changes nothing, so it may be repeated. */
+/* Cancellation is idempotent, so it may be sent to another entry. */
 enum ctl_status
 job_cancel(struct ctl *ctl, const char *noun, const struct settings_args *args)
 {
@@ -131,8 +131,9 @@
 
 	(void)noun;
 	if ((args->n == 0) == (ctl->opt.team[0] == '\0')) {
-		fprintf(
-		    ctl->err, "lagoonpinctl: job cancel: give ids or --team\n");
+		fprintf(ctl->err,
+		    "lagoonpinctl: job cancel: expected either ids or "
+		    "--team\n");
 		return CTL_USAGE;
 	}
 	body = json_object();
--- a/lagoonpinctl/lists.c
+++ b/lagoonpinctl/lists.c
@@ -5,10 +5,11 @@
 #include "record.h"
 
 static bool id_ok(const char *);
-static void print_explained(FILE *, json_t *);
-static json_t *ask_everywhere(struct ctl *, const char *, enum ctl_status *);
+static void print_explanation(FILE *, json_t *);
+static json_t *get_from_any(struct ctl *, const char *, enum ctl_status *);
 
-/* entries, workers, shards, tasks: the noun is the path and the list. */
+/* entries, workers, shards, tasks: the noun names both the path and the array.
+ */
 enum ctl_status
 list_show(struct ctl *ctl, const char *noun, const struct settings_args *args)
 {
@@ -20,7 +21,7 @@
 	return ctl_show(ctl, path, noun);
 }
 
-/* Printable and without what has a meaning in a path. */
+/* Accepts printable characters that need no escaping in a URL path. */
 static bool
 id_ok(const char *id)
 {
@@ -33,9 +34,10 @@
 	return p != id && p - id < CTL_PATH_SIZE / 2;
 }
 
-/* Only the entry that handled it may know, so the others are asked too. */
+/* Only the entry that handled it may know it, so on 404 all live entries are
+ * queried. */
 static json_t *
-ask_everywhere(struct ctl *ctl, const char *path, enum ctl_status *status)
+get_from_any(struct ctl *ctl, const char *path, enum ctl_status *status)
 {
 	struct ctl_request r = { .method = "GET",
 		.path = path,
@@ -57,7 +59,7 @@
 	}
 	free(targets);
 	a.sent = false;
-	*status = ctl_judge(ctl, &a);
+	*status = ctl_answer_status(ctl, &a);
 	body = *status == CTL_OK ? json_loadb(a.body, a.len, 0, NULL) : NULL;
 	if (*status == CTL_OK && body == NULL)
 		*status = CTL_REFUSED;
@@ -65,9 +67,9 @@
 	return body;
 }
 
-/* A list of objects, one after the other, or one object. */
+/* Prints each object of the first array, or the object itself. */
 static void
-print_explained(FILE *f, json_t *body)
+print_explanation(FILE *f, json_t *body)
 {
 	const char *key;
 	json_t *value, *one;
@@ -110,17 +112,18 @@
 		strcmp(kind, "request") != 0) ||
 	    !id_ok(id)) {
 		fprintf(ctl->err,
-		    "lagoonpinctl: explain job ID | task JOB/INDEX | request "
+		    "usage: lagoonpinctl explain job ID | task JOB/INDEX | "
+		    "request "
 		    "ID\n");
 		return CTL_USAGE;
 	}
 	snprintf(path, sizeof(path), "/v1/explain/%s/%s", kind, id);
-	if ((body = ask_everywhere(ctl, path, &status)) == NULL)
+	if ((body = get_from_any(ctl, path, &status)) == NULL)
 		return status;
 	if (ctl->opt.json)
 		ctl_print_json(ctl->out, body);
 	else
-		print_explained(ctl->out, body);
+		print_explanation(ctl->out, body);
 	json_decref(body);
 	return CTL_OK;
 }
--- a/lagoonpinctl/main.c
+++ b/lagoonpinctl/main.c
@@ -9,7 +9,7 @@
 	enum ctl_status status;
 
 	if (ctl_open(&ctl) == -1)
-		errx(CTL_UNREACHABLE, "can't make an event loop");
+		errx(CTL_UNREACHABLE, "cannot create the event loop");
 	status = ctl_main(&ctl, argc, argv);
 	ctl_close(&ctl);
 	return status;
--- a/lagoonpinctl/print.c
+++ b/lagoonpinctl/print.c
@@ -6,7 +6,7 @@
 
 #define NAME_SIZE 96
 #define COLUMNS_MAX 32
-#define GAP 2 /* blanks between two columns */
+#define COLUMN_GAP 2 /* spaces between columns */
 
 struct columns {
 	char names[COLUMNS_MAX][NAME_SIZE];
@@ -16,12 +16,12 @@
 
 static json_t *flatten(json_t *);
 static void flatten_into(json_t *, const char *, json_t *);
-static char *text_of(json_t *);
+static char *value_text(json_t *);
 static void add_column(struct columns *, const char *);
 static void find_columns(struct columns *, json_t *);
 static void print_row(FILE *, const struct columns *, json_t *);
 
-/* An object without groups: the record's own fields keep their names. */
+/* Flattens nested objects to GROUP.FIELD; fields of "record" get no prefix. */
 static json_t *
 flatten(json_t *object)
 {
@@ -54,7 +54,7 @@
 }
 
 static char *
-text_of(json_t *value)
+value_text(json_t *value)
 {
 	char *text;
 
@@ -88,8 +88,8 @@
 	}
 	json_object_foreach(flat, key, value)
 	{
-		text = text_of(value);
-		fprintf(f, "%-*s%s\n", width + GAP, key, text);
+		text = value_text(value);
+		fprintf(f, "%-*s%s\n", width + COLUMN_GAP, key, text);
 		free(text);
 	}
 	json_decref(flat);
@@ -111,7 +111,7 @@
 	c->n++;
 }
 
-/* What names a line comes first, the rest in the order of the answer. */
+/* Identifying columns come first, the rest in the order of the response. */
 static void
 find_columns(struct columns *c, json_t *rows)
 {
@@ -135,7 +135,7 @@
 	json_array_foreach(rows, i, row)
 	{
 		for (j = 0; j < c->n; j++) {
-			text = text_of(json_object_get(row, c->names[j]));
+			text = value_text(json_object_get(row, c->names[j]));
 			if ((int)strlen(text) > c->widths[j])
 				c->widths[j] = (int)strlen(text);
 			free(text);
@@ -150,14 +150,15 @@
 	int j;
 
 	for (j = 0; j < c->n; j++) {
-		text = row == NULL ? strdup(c->names[j]) :
-				     text_of(json_object_get(row, c->names[j]));
+		text = row == NULL ?
+		    strdup(c->names[j]) :
+		    value_text(json_object_get(row, c->names[j]));
 		if (text == NULL)
 			err(CTL_REFUSED, "print");
 		if (j + 1 == c->n)
 			fprintf(f, "%s\n", text);
 		else
-			fprintf(f, "%-*s", c->widths[j] + GAP, text);
+			fprintf(f, "%-*s", c->widths[j] + COLUMN_GAP, text);
 		free(text);
 	}
 }
--- a/lagoonpinctl/records.c
+++ b/lagoonpinctl/records.c
@@ -4,13 +4,13 @@
 #include "ctl.h"
 #include "record.h"
 
-/* Services, teams and the policy: the noun says which. */
+/* Commands on services, teams and the policy; the noun selects the kind. */
 
 #define QUERY_SIZE 32 /* of ?revision=N or ?schema=N */
 
-static bool path_of(
+static bool record_path(
     struct ctl *, const char *, const struct settings_args *, char *);
-static int fields_from(const char *);
+static int first_field(const char *);
 static json_t *new_record(struct ctl *, const char *,
     const struct settings_args *, enum ctl_status *);
 static bool set_fields(
@@ -20,25 +20,26 @@
 static enum ctl_status send_change(
     struct ctl *, const char *, const char *, const char *);
 
-/* Where the FIELD=VALUE arguments begin: after the name, if there is one. */
+/* Index of the first FIELD=VALUE argument: after the name, if the kind has
+ * one. */
 static int
-fields_from(const char *noun)
+first_field(const char *noun)
 {
 	return strcmp(noun, "policy") == 0 ? 0 : 1;
 }
 
 static bool
-path_of(struct ctl *ctl, const char *noun, const struct settings_args *args,
+record_path(struct ctl *ctl, const char *noun, const struct settings_args *args,
     char *path)
 {
-	if (fields_from(noun) == 0) {
+	if (first_field(noun) == 0) {
 		strlcpy(path, "/v1/policy", CTL_PATH_SIZE);
 		return true;
 	}
 	if (!record_name_ok(args->at[0])) {
 		fprintf(ctl->err,
-		    "lagoonpinctl: \"%s\": a name has 1 to 64 of letters, "
-		    "digits, '-', '_', '.'\n",
+		    "lagoonpinctl: \"%s\": a name has 1 to 64 letters, "
+		    "digits, '-', '_' or '.'\n",
 		    args->at[0]);
 		return false;
 	}
@@ -52,7 +53,7 @@
 {
 	int i;
 
-	for (i = fields_from(noun); i < args->n; i++) {
+	for (i = first_field(noun); i < args->n; i++) {
 		if (!ctl_field_set(record, args->at[i])) {
 			fprintf(ctl->err,
 			    "lagoonpinctl: \"%s\": not FIELD=VALUE\n",
@@ -75,7 +76,7 @@
 		record = json_loadb(text, len, JSON_REJECT_DUPLICATES, NULL);
 	free(text);
 	if (!json_is_object(record)) {
-		fprintf(ctl->err, "lagoonpinctl: %s: not a file of JSON\n",
+		fprintf(ctl->err, "lagoonpinctl: %s: not a JSON object\n",
 		    ctl->opt.file);
 		json_decref(record);
 		*status = CTL_USAGE;
@@ -96,7 +97,7 @@
 	} else {
 		record = json_pack("{s:I}", "schema",
 		    (json_int_t)(ctl->opt.schema == 0 ? 1 : ctl->opt.schema));
-		if (fields_from(noun) == 1)
+		if (first_field(noun) == 1)
 			json_object_set_new(
 			    record, "name", json_string(args->at[0]));
 	}
@@ -108,7 +109,7 @@
 	return record;
 }
 
-/* Tells the new revision, or on a conflict the record as it stands. */
+/* Prints the new revision, or on a conflict the current record. */
 static enum ctl_status
 send_change(
     struct ctl *ctl, const char *method, const char *path, const char *text)
@@ -123,7 +124,7 @@
 	json_t *body, *shown;
 
 	ctl_call(ctl, &r, &a);
-	status = ctl_judge(ctl, &a);
+	status = ctl_answer_status(ctl, &a);
 	body = a.body == NULL ? NULL : json_loadb(a.body, a.len, 0, NULL);
 	shown = body;
 	if (status == CTL_CONFLICT && !ctl->opt.json)
@@ -167,7 +168,7 @@
 	enum ctl_status status = CTL_USAGE;
 	json_t *record;
 
-	if (!path_of(ctl, noun, args, path))
+	if (!record_path(ctl, noun, args, path))
 		return CTL_USAGE;
 	if ((record = new_record(ctl, noun, args, &status)) == NULL)
 		return status;
@@ -179,16 +180,16 @@
 enum ctl_status
 record_show(struct ctl *ctl, const char *noun, const struct settings_args *args)
 {
-	char path[CTL_PATH_SIZE], asked[CTL_PATH_SIZE + QUERY_SIZE];
+	char path[CTL_PATH_SIZE], url_path[CTL_PATH_SIZE + QUERY_SIZE];
 
-	if (!path_of(ctl, noun, args, path))
+	if (!record_path(ctl, noun, args, path))
 		return CTL_USAGE;
 	if (ctl->opt.schema == 0)
-		strlcpy(asked, path, sizeof(asked));
+		strlcpy(url_path, path, sizeof(url_path));
 	else
-		snprintf(asked, sizeof(asked), "%s?schema=%lld", path,
+		snprintf(url_path, sizeof(url_path), "%s?schema=%lld", path,
 		    (long long)ctl->opt.schema);
-	return ctl_show(ctl, asked, NULL);
+	return ctl_show(ctl, url_path, NULL);
 }
 
 enum ctl_status
@@ -203,38 +204,38 @@
 }
 
 /*
- * The fields that aren't named stay as they are.  The revision read here, or
- * the one the operator gives, is what the change is compared with.
+ * Fields that are not given stay unchanged.  The write is conditional on the
+ * revision given by the operator, or else on the one read here.
  */
 enum ctl_status
 record_set(struct ctl *ctl, const char *noun, const struct settings_args *args)
 {
 	char path[CTL_PATH_SIZE];
 	enum ctl_status status;
-	json_t *now, *record;
-	int64_t seen;
+	json_t *current, *record;
+	int64_t expected;
 
-	if (!path_of(ctl, noun, args, path))
+	if (!record_path(ctl, noun, args, path))
 		return CTL_USAGE;
-	if ((now = ctl_get(ctl, path, &status)) == NULL)
+	if ((current = ctl_get(ctl, path, &status)) == NULL)
 		return status;
-	seen = ctl->opt.revision >= 0 ?
+	expected = ctl->opt.revision >= 0 ?
 	    ctl->opt.revision :
-	    json_integer_value(json_object_get(now, "revision"));
+	    json_integer_value(json_object_get(current, "revision"));
 	if (ctl->opt.file[0] != '\0')
 		record = read_file(ctl, &status);
 	else
-		record = json_incref(json_object_get(now, "record"));
+		record = json_incref(json_object_get(current, "record"));
 	if (record != NULL && ctl->opt.schema != 0)
 		json_object_set_new(
 		    record, "schema", json_integer(ctl->opt.schema));
 	if (record != NULL) {
 		status = set_fields(ctl, noun, args, record) ?
-		    put(ctl, path, seen, record) :
+		    put(ctl, path, expected, record) :
 		    CTL_USAGE;
 		json_decref(record);
 	}
-	json_decref(now);
+	json_decref(current);
 	return status;
 }
 
@@ -242,21 +243,22 @@
 record_delete(
     struct ctl *ctl, const char *noun, const struct settings_args *args)
 {
-	char path[CTL_PATH_SIZE], asked[CTL_PATH_SIZE + QUERY_SIZE];
+	char path[CTL_PATH_SIZE], url_path[CTL_PATH_SIZE + QUERY_SIZE];
 	enum ctl_status status;
-	json_t *now;
-	int64_t seen;
+	json_t *current;
+	int64_t expected;
 
-	if (!path_of(ctl, noun, args, path))
+	if (!record_path(ctl, noun, args, path))
 		return CTL_USAGE;
-	seen = ctl->opt.revision;
-	if (seen < 0) {
-		if ((now = ctl_get(ctl, path, &status)) == NULL)
+	expected = ctl->opt.revision;
+	if (expected < 0) {
+		if ((current = ctl_get(ctl, path, &status)) == NULL)
 			return status;
-		seen = json_integer_value(json_object_get(now, "revision"));
-		json_decref(now);
+		expected =
+		    json_integer_value(json_object_get(current, "revision"));
+		json_decref(current);
 	}
-	snprintf(
-	    asked, sizeof(asked), "%s?revision=%lld", path, (long long)seen);
-	return send_change(ctl, "DELETE", asked, NULL);
+	snprintf(url_path, sizeof(url_path), "%s?revision=%lld", path,
+	    (long long)expected);
+	return send_change(ctl, "DELETE", url_path, NULL);
 }
--- a/lagoonpinctl/targets.c
+++ b/lagoonpinctl/targets.c
@@ -55,7 +55,7 @@
 	}
 	json_decref(body);
 	if (n == 0) {
-		fprintf(ctl->err, "lagoonpinctl: no live entry is known\n");
+		fprintf(ctl->err, "lagoonpinctl: no live entries\n");
 		*status = CTL_UNREACHABLE;
 	}
 	return n;
--- a/lagoonpinctl/transport.c
+++ b/lagoonpinctl/transport.c
@@ -4,22 +4,22 @@
 
 #include "ctl.h"
 
-#define CONNECT_MS 1000
+#define CONNECT_TIMEOUT_MS 1000
 #define URL_SIZE (CTL_PATH_SIZE + SETTING_IP_SIZE + 16)
 
 struct pending {
 	struct ctl_answer *answer;
 	const struct ctl_request *request;
-	bool over;
+	bool done;
 };
 
 static void copy_header(struct httpc_call *, const char *, char *);
 static void on_done(const struct httpc_result *, void *);
 static void on_data(struct httpc_call *, const char *, size_t, void *);
-static void call_one(struct ctl *, const struct ctl_request *,
+static void request_entry(struct ctl *, const struct ctl_request *,
     const struct setting_address *, struct ctl_answer *);
 static bool try_next(const struct ctl_request *, const struct ctl_answer *);
-static void explain(struct ctl *, const struct ctl_answer *);
+static void print_refusal(struct ctl *, const struct ctl_answer *);
 
 int
 ctl_open(struct ctl *ctl)
@@ -58,7 +58,7 @@
 	struct pending *p;
 
 	p = ctx;
-	p->over = true;
+	p->done = true;
 	a = p->answer;
 	a->error = r->error;
 	a->sent = r->sent;
@@ -86,7 +86,7 @@
 }
 
 static void
-call_one(struct ctl *ctl, const struct ctl_request *r,
+request_entry(struct ctl *ctl, const struct ctl_request *r,
     const struct setting_address *entry, struct ctl_answer *a)
 {
 	struct pending pending = { .answer = a, .request = r };
@@ -99,7 +99,7 @@
 	request.nheaders = r->nheaders;
 	request.body = r->body;
 	request.body_len = r->len;
-	request.connect_timeout_ms = CONNECT_MS;
+	request.connect_timeout_ms = CONNECT_TIMEOUT_MS;
 	request.timeout_ms =
 	    r->timeout_ms < 0 ? ctl->opt.timeout_ms : r->timeout_ms;
 	request.on_data = r->on_data == NULL ? NULL : on_data;
@@ -108,14 +108,15 @@
 	memset(a, 0, sizeof(*a));
 	if (httpc_start(ctl->http, &request) == NULL)
 		errx(CTL_UNREACHABLE, "out of memory");
-	while (!pending.over)
+	while (!pending.done)
 		uv_run(&ctl->loop, UV_RUN_ONCE);
 }
 
 /*
- * Another entry may be asked when nothing reached this one.  After that only
- * a call that may be repeated goes on: else the same settlement could be
- * done twice, or an operator's own change come back as a conflict.
+ * The next entry may be tried if the request was not sent to this one.  A
+ * request that was sent is repeated only if it is idempotent: otherwise the
+ * same settlement could run twice, or an operator's own change could be
+ * reported as a conflict.
  */
 static bool
 try_next(const struct ctl_request *r, const struct ctl_answer *a)
@@ -135,7 +136,7 @@
 	memset(a, 0, sizeof(*a));
 	for (i = 0; i < ctl->opt.entries.n; i++) {
 		ctl_answer_free(a);
-		call_one(ctl, r, &ctl->opt.entries.at[i], a);
+		request_entry(ctl, r, &ctl->opt.entries.at[i], a);
 		sent = sent || a->sent;
 		if (!try_next(r, a))
 			break;
@@ -153,9 +154,9 @@
 	memset(a, 0, sizeof(*a));
 }
 
-/* The words of a refusal: error, field and message of its JSON body. */
+/* Prints error, field and message of the JSON body of a refusal. */
 static void
-explain(struct ctl *ctl, const struct ctl_answer *a)
+print_refusal(struct ctl *ctl, const struct ctl_answer *a)
 {
 	const char *error, *field, *message;
 	json_t *body;
@@ -169,23 +170,23 @@
 	    field == NULL ? "" : field,
 	    message == NULL || *message == '\0' ? "" : ": ",
 	    message == NULL ? "" : message,
-	    a->retry_after[0] == '\0' ? "" : "; try again after seconds: ",
+	    a->retry_after[0] == '\0' ? "" : "; retry after seconds: ",
 	    a->retry_after);
 	json_decref(body);
 }
 
 enum ctl_status
-ctl_judge(struct ctl *ctl, const struct ctl_answer *a)
+ctl_answer_status(struct ctl *ctl, const struct ctl_answer *a)
 {
 	if (a->error != HTTPC_OK) {
 		fprintf(ctl->err, "lagoonpinctl: %s: %s\n",
 		    httpc_strerror(a->error),
-		    a->sent ? "the outcome is unknown" : "no entry answered");
+		    a->sent ? "outcome unknown" : "no entry responded");
 		return a->sent ? CTL_UNKNOWN : CTL_UNREACHABLE;
 	}
 	if (a->status >= 200 && a->status < 300)
 		return CTL_OK;
-	explain(ctl, a);
+	print_refusal(ctl, a);
 	if (a->status == 502 || a->status == 504)
 		return CTL_UNKNOWN;
 	if (a->status == 409 && a->body != NULL &&
@@ -206,13 +207,13 @@
 
 	body = NULL;
 	ctl_call(ctl, &r, &a);
-	/* A read that got no answer has changed nothing. */
+	/* A read without a response has changed nothing. */
 	a.sent = false;
-	*status = ctl_judge(ctl, &a);
+	*status = ctl_answer_status(ctl, &a);
 	if (*status == CTL_OK &&
 	    (body = json_loadb(a.body, a.len, 0, NULL)) == NULL) {
-		fprintf(ctl->err, "lagoonpinctl: %s: the answer isn't JSON\n",
-		    path);
+		fprintf(ctl->err,
+		    "lagoonpinctl: %s: the response is not JSON\n", path);
 		*status = CTL_REFUSED;
 	}
 	ctl_answer_free(&a);
--- a/lagoonpinctl/wait.c
+++ b/lagoonpinctl/wait.c
@@ -6,38 +6,38 @@
 #include "ctl.h"
 
 /*
- * config wait: ask every live entry, all at once and again, until each has
- * the revision in force or the deadline passes.
+ * config wait: polls all live entries concurrently until each has the
+ * revision in force or the deadline expires.
  */
 
-#define POLL_MS 200
-#define CALL_MS 1000
+#define POLL_INTERVAL_MS 200
+#define REQUEST_TIMEOUT_MS 1000
 #define URL_SIZE 128
-#define WHY_SIZE 160
+#define REASON_SIZE 160
 
-struct asked {
+struct poll_target {
 	const struct ctl_target *target;
 	struct ctl *ctl;
-	struct httpc_call *call; /* NULL: not under way */
+	struct httpc_call *call; /* NULL: no request in flight */
 	int64_t wanted;
-	int64_t revision; /* as last told; -1: never */
+	int64_t revision; /* last reported; -1: none */
 	bool in_force;
-	char why[WHY_SIZE]; /* it isn't in force */
+	char reason[REASON_SIZE]; /* why it is not in force */
 };
 
-static void ask(struct asked *);
+static void send_poll(struct poll_target *);
 static void on_done(const struct httpc_result *, void *);
-static void read_config(struct asked *, json_t *);
-static size_t ask_all(struct asked *, size_t);
-static bool any_under_way(const struct asked *, size_t);
+static void read_config(struct poll_target *, json_t *);
+static size_t poll_all(struct poll_target *, size_t);
+static bool any_in_flight(const struct poll_target *, size_t);
 static void on_timer(uv_timer_t *);
 static void on_closed(uv_handle_t *);
 static void pause_ms(struct ctl *, int64_t);
 static enum ctl_status report(
-    struct ctl *, const struct asked *, size_t, int64_t);
+    struct ctl *, const struct poll_target *, size_t, int64_t);
 
 static void
-ask(struct asked *a)
+send_poll(struct poll_target *a)
 {
 	struct httpc_request request = { 0 };
 	char url[URL_SIZE];
@@ -45,8 +45,8 @@
 	request.method = "GET";
 	request.url =
 	    ctl_url(&a->target->address, "/v1/config", url, sizeof(url));
-	request.connect_timeout_ms = CALL_MS;
-	request.timeout_ms = CALL_MS;
+	request.connect_timeout_ms = REQUEST_TIMEOUT_MS;
+	request.timeout_ms = REQUEST_TIMEOUT_MS;
 	request.on_done = on_done;
 	request.ctx = a;
 	a->call = httpc_start(a->ctl->http, &request);
@@ -57,35 +57,35 @@
 static void
 on_done(const struct httpc_result *r, void *ctx)
 {
-	struct asked *a;
+	struct poll_target *a;
 	json_t *body;
 
 	a = ctx;
 	a->call = NULL;
 	if (r->error != HTTPC_OK) {
-		strlcpy(a->why, httpc_strerror(r->error), sizeof(a->why));
+		strlcpy(a->reason, httpc_strerror(r->error), sizeof(a->reason));
 		return;
 	}
 	body = json_loadb(r->body, r->body_len, 0, NULL);
 	if (r->status != 200 ||
 	    !json_is_integer(json_object_get(body, "revision")))
-		strlcpy(a->why, "no sensible answer", sizeof(a->why));
+		strlcpy(a->reason, "malformed response", sizeof(a->reason));
 	else
 		read_config(a, body);
 	json_decref(body);
 }
 
-/* A record that the entry refused isn't in force there, whatever revision
- * it has reached. */
+/* A record that the entry refused is not in force there, whatever revision
+ * the entry has reached. */
 static void
-read_config(struct asked *a, json_t *body)
+read_config(struct poll_target *a, json_t *body)
 {
 	json_t *bad, *list;
 	size_t i;
 
 	a->revision = json_integer_value(json_object_get(body, "revision"));
 	a->in_force = a->revision >= a->wanted;
-	snprintf(a->why, sizeof(a->why), "has revision %lld in force",
+	snprintf(a->reason, sizeof(a->reason), "has revision %lld in force",
 	    (long long)a->revision);
 	list = json_object_get(body, "bad_record");
 	json_array_foreach(list, i, bad)
@@ -94,14 +94,14 @@
 		    a->wanted)
 			continue;
 		a->in_force = false;
-		snprintf(a->why, sizeof(a->why), "refused %s, field %s",
+		snprintf(a->reason, sizeof(a->reason), "refused %s, field %s",
 		    json_string_value(json_object_get(bad, "key")),
 		    json_string_value(json_object_get(bad, "field")));
 	}
 }
 
 static bool
-any_under_way(const struct asked *list, size_t n)
+any_in_flight(const struct poll_target *list, size_t n)
 {
 	size_t i;
 
@@ -112,17 +112,17 @@
 	return false;
 }
 
-/* Returns how many don't have it in force. */
+/* Returns the number of entries where the revision is not in force. */
 static size_t
-ask_all(struct asked *list, size_t n)
+poll_all(struct poll_target *list, size_t n)
 {
 	size_t i, missing;
 
 	for (i = 0; i < n; i++) {
 		if (!list[i].in_force)
-			ask(&list[i]);
+			send_poll(&list[i]);
 	}
-	while (any_under_way(list, n))
+	while (any_in_flight(list, n))
 		uv_run(&list[0].ctl->loop, UV_RUN_ONCE);
 	missing = 0;
 	for (i = 0; i < n; i++) {
@@ -148,22 +148,23 @@
 pause_ms(struct ctl *ctl, int64_t ms)
 {
 	uv_timer_t timer;
-	bool over;
+	bool fired;
 
-	over = false;
+	fired = false;
 	uv_timer_init(&ctl->loop, &timer);
-	timer.data = &over;
+	timer.data = &fired;
 	uv_timer_start(&timer, on_timer, (uint64_t)ms, 0);
-	while (!over)
+	while (!fired)
 		uv_run(&ctl->loop, UV_RUN_ONCE);
-	over = false;
+	fired = false;
 	uv_close((uv_handle_t *)&timer, on_closed);
-	while (!over)
+	while (!fired)
 		uv_run(&ctl->loop, UV_RUN_ONCE);
 }
 
 static enum ctl_status
-report(struct ctl *ctl, const struct asked *list, size_t n, int64_t wanted)
+report(
+    struct ctl *ctl, const struct poll_target *list, size_t n, int64_t wanted)
 {
 	json_t *rows;
 	size_t i, missing;
@@ -177,7 +178,7 @@
 		    json_pack("{s:s, s:I, s:b, s:s}", "id", list[i].target->id,
 			"revision", (json_int_t)list[i].revision, "in_force",
 			list[i].in_force, "why",
-			list[i].in_force ? "" : list[i].why));
+			list[i].in_force ? "" : list[i].reason));
 	}
 	if (ctl->opt.json)
 		ctl_print_json(ctl->out, rows);
@@ -187,7 +188,7 @@
 	if (missing == 0)
 		return CTL_OK;
 	fprintf(ctl->err,
-	    "lagoonpinctl: revision %lld isn't in force on %zu of %zu "
+	    "lagoonpinctl: revision %lld is not in force on %zu of %zu "
 	    "entries\n",
 	    (long long)wanted, missing, n);
 	return CTL_NOT_IN_FORCE;
@@ -214,7 +215,7 @@
 {
 	struct ctl_target *targets;
 	enum ctl_status status;
-	struct asked *list;
+	struct poll_target *list;
 	int64_t until_ms;
 	size_t i, n;
 
@@ -231,8 +232,9 @@
 		list[i].wanted = wanted;
 		list[i].revision = -1;
 	}
-	while (ask_all(list, n) > 0 && clock_now_ms() + POLL_MS < until_ms)
-		pause_ms(ctl, POLL_MS);
+	while (poll_all(list, n) > 0 &&
+	    clock_now_ms() + POLL_INTERVAL_MS < until_ms)
+		pause_ms(ctl, POLL_INTERVAL_MS);
 	status = report(ctl, list, n, wanted);
 	free(list);
 	free(targets);
