--- a/tests/kvstand_fixture.h
+++ b/tests/kvstand_fixture.h
@@ -16,13 +16,13 @@
 }
 
 /*
- * The store client and the stand-in on one loop and one paused clock.  Only
- * sockets on the loopback run in real time, and nothing depends on their
+ * The store client and the stand-in store on one event loop with a paused
+ * clock.  Only loopback sockets run in real time, and no test depends on their
  * speed.
  */
 class KvstandTest : public ::testing::Test {
       protected:
-	/* Far more than any step needs. */
+	/* Well above the iterations that any step needs. */
 	static const int TURNS_MAX = 500000;
 
 	void
@@ -73,7 +73,7 @@
 			uv_run(&loop_, UV_RUN_NOWAIT);
 	}
 
-	/* Opens the client; with a dead endpoint first if one is given. */
+	/* Opens the client; an unreachable endpoint, if given, comes first. */
 	struct store *
 	open(double calls_per_s = 0, const char *dead = nullptr)
 	{
@@ -93,7 +93,7 @@
 		return store_;
 	}
 
-	/* One turn of the loop and a millisecond of the clock. */
+	/* Runs the event loop once and advances the clock by 1 ms. */
 	virtual void
 	turn()
 	{
@@ -114,11 +114,11 @@
 				return;
 			turn();
 		}
-		/* What is waited for never comes; the test can't go on. */
+		/* The condition never became true; the test cannot continue. */
 		throw std::runtime_error("stuck");
 	}
 
-	/* Talks to the stand-in past the client under test. */
+	/* Sends a request to the stand-in without the client under test. */
 	void
 	post(const char *path, const std::string &body)
 	{
--- a/tests/process/graceful_stop.sh
+++ b/tests/process/graceful_stop.sh
@@ -1,8 +1,8 @@
 #!/bin/sh
-# An entry gets SIGTERM under load.  It takes no new connections, hands over
-# its shards and credits, finishes every call in flight and leaves.  Callers
-# find it closed and go to another entry; none sees a cut connection or an
-# unknown outcome.
+# An entry gets SIGTERM under load.  It accepts no new connections, hands over
+# its shards and credits, finishes every call in flight and exits.  Callers
+# are refused a connection and use another entry; none gets a broken
+# connection or an unknown outcome.
 name=process_graceful_stop
 . "$(dirname "$0")/lib.sh"
 
@@ -14,7 +14,7 @@
 wait_for "calls running" sh -c \
     "curl -s $workers/stats/all | jq -e '.totals.calls > 40' >/dev/null"
 kill -TERM "$e2_pid"
-wait "$e2_pid" || fail "the entry left with status $?"
+wait "$e2_pid" || fail "the entry exited with status $?"
 wait_for "another owner for its shards" none_owned_by "$e1" e2
 end_load
 expect "calls with an unknown outcome" \
--- a/tests/process/kill_entry.sh
+++ b/tests/process/kill_entry.sh
@@ -1,10 +1,10 @@
 #!/bin/sh
-# An entry is killed under load, in the middle of batch jobs.  Callers whose
-# call was in flight there see the connection break; they repeat it under the
-# same id through another entry and get their answer, or for a non-idempotent
-# one "unknown" if it may have run.  The others take over its shards by a
-# higher epoch, learn from the workers what runs, and every accepted job
-# finishes with each task done once.
+# An entry is killed under load, while batch jobs run.  Callers with a call in
+# flight lose the connection; they repeat the call with the same id through
+# another entry and get a response, or for a non-idempotent call "unknown" if
+# it may have run.  The other entries acquire its shards at a higher epoch and
+# learn from the workers which tasks run; every accepted job completes with
+# each task done once.
 name=process_kill_entry
 . "$(dirname "$0")/lib.sh"
 
--- a/tests/process/leaving_endpoint.sh
+++ b/tests/process/leaving_endpoint.sh
@@ -1,8 +1,8 @@
 #!/bin/sh
-# A worker's VM is reported as leaving, by a list that lags.  Calls that
-# still come are answered, since the list is late; after that no call and no
-# task goes there, calls in flight finish, and watches are moved to another
-# endpoint without a line lost.  The callers notice nothing.
+# A worker's VM is reported as leaving by a VM list that lags.  Calls sent
+# there before the entries read the change are answered; after that no call or
+# task is sent there, calls in flight finish, and watches are moved to another
+# endpoint without losing a line.  Callers see no fault.
 name=process_leaving_endpoint
 . "$(dirname "$0")/lib.sh"
 
--- a/tests/process/lib.sh
+++ b/tests/process/lib.sh
@@ -1,9 +1,9 @@
-# Common to the tests of whole processes, to the demo and to the benchmarks:
-# start programs on a free block of ports, wait for events, end what was
-# started.  A test states its verdict by exit status; it waits for events up
-# to a generous limit and never asserts how long something took.
+# Functions shared by the process tests, the demo and the benchmarks: start
+# programs on a free block of ports, wait for events, kill what was started.
+# The exit status is the result of a test.  Tests wait for events up to a
+# generous limit and never assert how long something took.
 #
-# Sourced with $name set.  Shell variables that start with a p_ are private.
+# Sourced with $name set.  Shell variables starting with p_ are private.
 
 set -u
 top=$(cd "$(dirname "$0")/.." && pwd)
@@ -15,9 +15,9 @@
 mkdir -p "$out"
 
 pids=""
-entries=""		# ip:port,... of the entries started
+entries=""		# ip:port,... of the started entries
 fleet_seed=${SEED:-1}
-limit_s=60		# for any one event
+limit_s=60		# for each event
 
 fail()
 {
@@ -30,7 +30,7 @@
 	echo "$name: $*"
 }
 
-# Several checkouts may test on one machine: a lock on a block of ports.
+# Locks a block of ports, as several checkouts may run tests on one machine.
 take_ports()	# [FIRST-BLOCK STEP COUNT], blocks of 100 ports
 {
 	p_block=${1:-270}
@@ -68,7 +68,7 @@
 trap cleanup EXIT
 trap 'exit 1' INT TERM
 
-# start LOG PROGRAM ARG... : run in the background; its id is in $started.
+# start LOG PROGRAM ARG... : runs it in the background; its pid is in $started.
 start()
 {
 	p_log=$1
@@ -85,14 +85,14 @@
 	curl -s -m 10 "$@"
 }
 
-# wait_for WHAT COMMAND... : until the command succeeds.
+# wait_for WHAT COMMAND... : repeats the command until it succeeds.
 wait_for()
 {
 	p_what=$1
 	shift
 	p_end=$(($(date +%s) + limit_s))
 	until "$@"; do
-		[ "$(date +%s)" -lt "$p_end" ] || fail "waited in vain: $p_what"
+		[ "$(date +%s)" -lt "$p_end" ] || fail "timed out waiting for: $p_what"
 		sleep 0.1
 	done
 }
@@ -117,8 +117,8 @@
 	wait_for "the list of VMs" answers "$vms/stats"
 }
 
-# start_workers COUNT PER_RACK ARG... : control ports from base+20 on.
-worker_base=20		# of the ports, after base
+# start_workers COUNT PER_RACK ARG... : control ports start at base+20.
+worker_base=20		# offset of the ports from base
 
 start_workers()
 {
@@ -143,8 +143,8 @@
 	echo 127.0.0.1:$((base + worker_base - 2 + 2 * $1))
 }
 
-# Leases and beats are short, so that a test sees them lapse; a benchmark
-# sets timing to nothing and so takes the defaults.
+# Leases and heartbeat intervals are short, so that leases expire within a
+# test; benchmarks set timing to the empty string to use the defaults.
 timing="--heartbeat-ms 200 --silence-ms 1500 --registry-ttl-s 2 --vm-list-ms 300
 --commit-ms 50 --lease-ms 4000 --renew-ms 1000 --margin-ms 300"
 
@@ -155,7 +155,7 @@
 	p_dc=sala-norte
 	[ $((p_number % 2)) -eq 1 ] || p_dc=sala-sur
 	p_listen=127.0.0.1:$((base + 2 * p_number))
-	# The flags in timing are meant to be split into words.
+	# The flags in timing must be split into words.
 	# shellcheck disable=SC2086
 	start "e$p_number" lagoonpind --id "e$p_number" --data-center $p_dc \
 	    --listen "$p_listen" --peer 127.0.0.1:$((base + 2 * p_number + 1)) \
@@ -165,7 +165,7 @@
 	entries=$entries${entries:+,}$p_listen
 }
 
-# The whole fleet: store, list, workers and entries, ready for calls.
+# Starts store, VM list, workers and entries, and waits until calls work.
 start_fleet()	# ENTRIES WORKERS PER_RACK ARG-OF-WORKSTAND...
 {
 	p_entries=$1
@@ -192,7 +192,8 @@
 	done
 }
 
-# put ADDRESS KIND/NAME REVISION-SEEN RECORD : the HTTP status; body in $put_body
+# put ADDRESS KIND/NAME REVISION-SEEN RECORD : prints the HTTP status; the body
+# is in the file $put_body.
 put()
 {
 	put_body=$out/put.$1.$$
@@ -200,7 +201,7 @@
 	    "{\"revision\":$3,\"record\":$4}" "http://$1/v1/$2"
 }
 
-# in_force PATH FILTER VALUE : on every entry
+# in_force PATH FILTER VALUE : true if every entry has the value in force.
 in_force()
 {
 	for p_address in $(echo "$entries" | tr , ' '); do
@@ -238,7 +239,7 @@
 	"$bin/lagoonpinctl" --entry "$p_address" "$@"
 }
 
-# owners ADDRESS : "SHARD OWNER EPOCH" a line, as that entry knows it.
+# owners ADDRESS : prints "SHARD OWNER EPOCH" lines, as that entry knows them.
 owners()
 {
 	get "$1/v1/shards" | jq -r '.shards[] | "\(.shard) \(.owner) \(.epoch)"'
@@ -253,13 +254,13 @@
 	[ -n "$p_shards" ] && [ "$p_shards" = "$p_owned" ]
 }
 
-# no shard is owned by entry $2, and every shard has an owner, as $1 knows
+# True if, as entry $1 knows, all shards are owned, none of them by entry $2.
 none_owned_by()
 {
 	all_owned "$1" && ! owners "$1" | awk '{ print $2 }' | grep -qx "$2"
 }
 
-# start_load LABEL ARG... : its id is in $load_pid, its report in LABEL.json
+# start_load LABEL ARG... : sets $load_pid; the report goes to LABEL.json.
 start_load()
 {
 	load_label=$1
@@ -270,7 +271,7 @@
 	pids="$pids $load_pid"
 }
 
-# The load tool's verdict; its report is then in $report.
+# Waits for the load tool and checks its status; its report is in $report.
 end_load()
 {
 	report=$out/$load_label.json
@@ -284,20 +285,20 @@
 	jq -r "$2" "$1"
 }
 
-stats()	# JQ-FILTER on /stats/all of the workers
+stats()	# JQ-FILTER, applied to /stats/all of the workers
 {
 	get "$workers/stats/all" | jq -r "$1"
 }
 
-# What must hold whatever failed: no worker over its capacity, no task in
-# two places, none done twice, no request at most once that ran twice.
+# Checks the invariants under any fault: no worker over its capacity, no task
+# in two places or done twice, no at-most-once request run twice.
 check_workers()
 {
 	p_sum=$(stats '.violations | add')
 	[ "$p_sum" = 0 ] || fail "workers: $(stats '.violations | tostring')"
 }
 
-# Each task of the jobs ended well exactly once.
+# Checks that each task of the jobs completed exactly once.
 check_tasks()	# EXPECTED-NUMBER-OF-TASKS
 {
 	get "$workers/stats/tasks" >"$out/tasks.json"
--- a/tests/process/pause_entry.sh
+++ b/tests/process/pause_entry.sh
@@ -1,9 +1,9 @@
 #!/bin/sh
-# An entry is stopped (SIGSTOP) for longer than its leases last and believes
-# to own its shards when it wakes up.  Meanwhile others own them by a higher
-# epoch.  What the woken entry writes fails on the ledger's revision, and
-# what it sends is refused by the workers; then it learns of the new owners.
-# No task runs in two places, none is done twice or lost.
+# An entry is stopped (SIGSTOP) for longer than its leases last, and when it
+# resumes it still acts as owner of its shards, which other entries now own at
+# a higher epoch.  Its writes fail their comparison with the ledger's revision
+# and its messages are refused by the workers; then it learns of the new
+# owners.  No task runs in two places, is done twice or is lost.
 name=process_pause_entry
 . "$(dirname "$0")/lib.sh"
 
@@ -20,7 +20,7 @@
 kill -STOP "$owner_pid"
 wait_for "another owner for its shards" none_owned_by "$witness" "$owner"
 kill -CONT "$owner_pid"
-# It learns of the owners that the others know.
+# The resumed entry learns of the current owners.
 wait_for "the woken entry knows the new owners" sh -c "
     [ \"\$(curl -s -m 5 $owner_address/v1/shards | jq -cS '[.shards[] |
     {shard, owner, epoch}] | sort_by(.shard)')\" = \"\$(curl -s -m 5 \
--- a/tests/process/platform.sh
+++ b/tests/process/platform.sh
@@ -1,7 +1,7 @@
-# Common to runs on the platform's protocols: its stand-ins, the entries with
-# their settings files, and what must hold whatever happens.
+# Functions shared by tests on the platform's protocols: start the stand-ins
+# and the entries with their settings files, and check the invariants.
 #
-# Sourced after lib.sh.  Shell variables that start with a p_ are private.
+# Sourced after lib.sh.  Shell variables starting with p_ are private.
 
 host=jobs.example
 prefix=/q/
@@ -13,7 +13,7 @@
 	wait_for "the store" answers "$store/stats"
 }
 
-# start_platform_workers COUNT ARG... : ports from base+40 on.
+# start_platform_workers COUNT ARG... : ports start at base+40.
 start_platform_workers()
 {
 	p_count=$1
@@ -30,7 +30,7 @@
 	    jq '.items | length')" = "$1" ]
 }
 
-write_config()	# VERSION TARGET-MS : as the operator does
+write_config()	# VERSION TARGET-MS : writes it as an operator does
 {
 	p_config=$(printf '{"version":%s,"routes":[{"name":"q","host":"%s",
 	    "prefix":"%s","service":"custodio","max_attempts":4,"stretch":2,
@@ -47,7 +47,7 @@
 	    "$store/fault" || fail "the store refused the fault $1"
 }
 
-# cut_worker NUMBER MS : nothing reaches it meanwhile; its tasks run on.
+# cut_worker NUMBER MS : makes it unreachable for MS; its tasks continue.
 cut_worker()
 {
 	get -f -o /dev/null -d "{\"cut_ms\":$2}" \
@@ -59,10 +59,10 @@
 {
 	get -f -o /dev/null -d "{\"cpu_millis\":$2}" \
 	    "http://127.0.0.1:$((base + 39 + $1))/fault" ||
-	    fail "worker $1 refused its room"
+	    fail "worker $1 refused its capacity"
 }
 
-settings_of()	# NUMBER : the settings file of an entry
+settings_of()	# NUMBER : prints the settings file of an entry
 {
 	p_port=$((base + 3 * $1))
 	p_zone=sala-norte
@@ -78,7 +78,8 @@
 	EOF
 }
 
-# start_platform_entry NUMBER : also again, under the same name and address.
+# start_platform_entry NUMBER : starts or restarts it with the same name and
+# address.
 start_platform_entry()
 {
 	settings_of "$1" >"$out/entry-$1.json"
@@ -100,7 +101,7 @@
 	get -f -o /dev/null "http://127.0.0.1:$((base + 3 * $1 + 1))/ready"
 }
 
-# start_platform_entries COUNT : their fronts are in $fronts.
+# start_platform_entries COUNT : sets $fronts to their addresses for callers.
 start_platform_entries()
 {
 	fronts=
@@ -117,7 +118,7 @@
 	done
 }
 
-# start_callers ARG... : what they say at their end is in callers.out.
+# start_callers ARG... : their report is written to callers.out at the end.
 start_callers()
 {
 	start callers platstand callers --entries "$fronts" --host "$host" \
@@ -125,12 +126,13 @@
 	callers_pid=$started
 }
 
-# What callers and workers saw: each job ended as wanted, no task ran in two
-# places or was done twice, and each task of a job that completed was done.
+# Checks the reports of callers and workers: each job ended as expected, no
+# task ran in two places or was done twice, and each task of a completed job
+# was done.
 check_platform()
 {
 	wait "$callers_pid" ||
-	    fail "jobs didn't end as wanted: $(cat "$out/callers.out")"
+	    fail "jobs didn't end as expected: $(cat "$out/callers.out")"
 	p_stats=$(get "$workers/stats")
 	say "callers: $(cat "$out/callers.out")"
 	say "workers: $p_stats"
@@ -140,5 +142,5 @@
 	done
 	[ "$(echo "$p_stats" | jq .done)" = \
 	    "$(jq .tasks "$out/callers.out")" ] ||
-	    fail "tasks done by the workers aren't those of the jobs"
+	    fail "number of tasks done by the workers differs from that of the jobs"
 }
--- a/tests/process/platform_crashing_task.sh
+++ b/tests/process/platform_crashing_task.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Guards against a task that takes one worker after the other down, and against
-# starts on workers whose room has shrunk.
+# Guards against a task that crashes one worker after another, and against
+# starts on workers whose free capacity has shrunk.
 name=platform_crashing_task
 . "$(dirname "$0")/lib.sh"
 . "$(dirname "$0")/platform.sh"
@@ -9,7 +9,7 @@
 {
 	get -f -o /dev/null -H "Host: $host" -H 'X-Deadline-Ms: 3000' \
 	    -d "{\"spec\":\"$2\",\"phases\":[$3]}" \
-	    "http://$(front_of 1)$prefix$1" || fail "job $1 wasn't taken"
+	    "http://$(front_of 1)$prefix$1" || fail "job $1 wasn't accepted"
 }
 
 state_is()	# ID STATE
@@ -36,8 +36,8 @@
 wait_for "the job to be given up" state_is 00000000000000bb failed
 crashes=$(stat_of crashes)
 [ "$crashes" -ge 2 ] || fail "given up after $crashes crashes"
-[ "$crashes" -le 5 ] || fail "$crashes workers were taken down"
-state_is 00000000000000aa running || fail "the job beside it was given up"
+[ "$crashes" -le 5 ] || fail "$crashes workers crashed"
+state_is 00000000000000aa running || fail "the other job was given up"
 
 for worker in 1 2 3 4 5 6; do
 	set_room "$worker" 2500
--- a/tests/process/platform_jobs.sh
+++ b/tests/process/platform_jobs.sh
@@ -1,8 +1,8 @@
 #!/bin/sh
-# Callers hand jobs in at three entries on the platform's protocols, one after
-# the other is killed, stopped in order and paused meanwhile, and the store is
-# away for a moment.  Each job ends as wanted, and no task runs twice: the
-# next leader asks the workers what runs there before it starts anything.
+# Callers submit jobs to three entries on the platform's protocols, while one
+# after another is killed, shut down gracefully and paused, and the store is
+# briefly unavailable.  Each job ends as expected, and no task runs twice: a
+# new leader polls the workers for their tasks before it starts any.
 name=platform_jobs
 . "$(dirname "$0")/lib.sh"
 . "$(dirname "$0")/platform.sh"
@@ -20,7 +20,7 @@
 start_platform_entry 1
 sleep 1
 kill -TERM "$entry_2_pid"
-wait "$entry_2_pid" || fail "entry 2 left with status $?"
+wait "$entry_2_pid" || fail "entry 2 exited with status $?"
 start_platform_entry 2
 kill -STOP "$entry_3_pid"
 sleep 2
--- a/tests/process/platform_refused_save.sh
+++ b/tests/process/platform_refused_save.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Guards against one job whose record the store refuses holding up all others.
+# Guards against a job whose record the store refuses blocking all other jobs.
 name=platform_refused_save
 . "$(dirname "$0")/lib.sh"
 . "$(dirname "$0")/platform.sh"
@@ -9,7 +9,7 @@
 	get -f -o /dev/null -H "Host: $host" -H 'X-Deadline-Ms: 3000' \
 	    -d "{\"spec\":\"$3 16 $4\",\"phases\":[{\"count\":$2,\"cpu\":$3,
 	    \"mem_mb\":16,\"estimated_ms\":$4}]}" \
-	    "http://$(front_of 1)$prefix$1" || fail "job $1 wasn't taken"
+	    "http://$(front_of 1)$prefix$1" || fail "job $1 wasn't accepted"
 }
 
 state_of()	# ID
@@ -24,7 +24,7 @@
 }
 
 take_ports
-# Room for the record of some 250 tasks that are done.
+# Large enough for the record of about 250 completed tasks.
 start_platform_store --value-bytes 2500
 write_config 1 1000
 start_platform_workers 6
--- a/tests/process/platform_stop_open.sh
+++ b/tests/process/platform_stop_open.sh
@@ -1,8 +1,8 @@
 #!/bin/sh
-# A caller asks for the state of a job while the store is away and nobody
-# leads, so its request is open until its deadline.  The entry is stopped in
-# order, and its time for that is over first: the caller is answered, and the
-# entry ends with status 0.
+# A caller queries a job while the store is unavailable and there is no leader,
+# so the request stays open until its deadline.  The entry is shut down
+# gracefully, and the time limit for that ends first: the caller gets a
+# response, and the entry exits with status 0.
 name=platform_stop_open
 . "$(dirname "$0")/lib.sh"
 . "$(dirname "$0")/platform.sh"
@@ -20,6 +20,6 @@
 caller_pid=$!
 sleep 1
 kill -TERM "$entry_1_pid"
-wait "$entry_1_pid" || fail "the entry left with status $?"
+wait "$entry_1_pid" || fail "the entry exited with status $?"
 wait "$caller_pid"
 expect "status of the open request" "$(cat "$out/status")" 504
--- a/tests/process/stand_stop.sh
+++ b/tests/process/stand_stop.sh
@@ -1,12 +1,13 @@
 #!/bin/sh
-# The stand-ins get SIGTERM while they hold answers back: a slow list, a
-# frozen worker, a renewal, a watch and a call that wait.  Each closes its
-# connections and leaves with status 0; before, what the connection's end was
-# reported to had been freed (seen in the sanitized build).
+# The stand-ins get SIGTERM with responses pending: a slow VM list, a frozen
+# worker, and a renewal, a watch and a call that wait.  Each closes its
+# connections and exits with status 0.  Guards against a use after free: the
+# end of a connection was reported to an object that had been freed (seen in
+# the sanitized build).
 name=process_stand_stop
 . "$(dirname "$0")/lib.sh"
 
-hold()	# ARG-OF-CURL... : a request that won't be answered
+hold()	# ARG-OF-CURL... : sends a request that gets no response
 {
 	curl -s -m 20 -o /dev/null "$@" 9>&- &
 	pids="$pids $!"
@@ -32,6 +33,6 @@
 sleep 0.3
 for pid in $vmstand_pid $workers_pid; do
 	kill -TERM "$pid"
-	wait "$pid" || fail "status $? of $pid"
+	wait "$pid" || fail "process $pid exited with status $?"
 done
 say "ok"
--- a/tests/process/start_without_store.sh
+++ b/tests/process/start_without_store.sh
@@ -1,8 +1,8 @@
 #!/bin/sh
-# A new entry VM comes while the store is down.  Its callers would find an
-# entry that knows no service and no peer, and refuses everything; the others
-# can't find it in the registry either.  It asks the entries that it was told
-# of at its start (--peers), learns the configuration in force, and answers.
+# An entry starts while the store is down.  Without the store it would know no
+# service and no peer and refuse every call, and other entries could not find
+# it in the registry.  It contacts the entries given by --peers, gets the
+# configuration in force from them, and serves calls.
 name=process_start_without_store
 . "$(dirname "$0")/lib.sh"
 
--- a/tests/process/store_outage.sh
+++ b/tests/process/store_outage.sh
@@ -1,9 +1,10 @@
 #!/bin/sh
-# The key-value service goes away under load, comes back slow, and then loses
-# answers to writes that took effect.  Idempotent calls go on as if nothing
-# happened; non-idempotent ones are refused as "not run" with Retry-After
-# and run once when repeated later.  Tasks bound ahead go on.  An entry whose
-# write got no answer reads it back first, so that no task starts twice.
+# The key-value service becomes unavailable under load, is slow when it
+# returns, and then loses responses to writes that took effect.  Idempotent
+# calls are unaffected; non-idempotent ones are refused as "not run" with
+# Retry-After and run once when repeated later.  Tasks bound ahead continue.
+# An entry whose write got no response first reads it back, so that no task
+# starts twice.
 name=process_store_outage
 . "$(dirname "$0")/lib.sh"
 
--- a/tests/process/two_operators.sh
+++ b/tests/process/two_operators.sh
@@ -1,10 +1,10 @@
 #!/bin/sh
-# Two operators change the same service at the same moment through two
-# entries, both having seen the same revision.  One change is accepted, the
-# other refused as a whole with the record that is in force; every entry ends
-# up with the accepted one.  With the store away a change is refused and
-# nothing changes.  A store that loses answers never makes a change count
-# twice or an accepted one vanish.
+# Two operators concurrently change the same service through two entries,
+# both based on the same revision.  One change is accepted, the other refused
+# as a whole with the record in force, and every entry comes to have the
+# accepted one in force.  While the store is unavailable, a change is refused
+# and has no effect.  Responses lost by the store never apply a change twice
+# or lose an accepted one.
 name=process_two_operators
 . "$(dirname "$0")/lib.sh"
 
@@ -14,7 +14,7 @@
 	    \"slots_per_call\":1}"
 }
 
-race()	# REVISION DEADLINE-MS DEADLINE-MS : "STATUS STATUS"
+race()	# REVISION DEADLINE-MS DEADLINE-MS : prints "STATUS STATUS"
 {
 	put "$e1" services/custodio "$1" "$(service "$2")" >"$out/race1" &
 	p_one=$!
@@ -76,7 +76,7 @@
 case $status in
 200) wanted=888 ;;
 503 | 504) wanted=$(deadline "$e3") ;;
-*) fail "a change with lost answers: $status" ;;
+*) fail "status of a change with lost responses: $status" ;;
 esac
 wait_for "one record in force" in_force services/custodio \
     .record.deadline_ms "$wanted"
--- a/tests/process/worker_faults.sh
+++ b/tests/process/worker_faults.sh
@@ -1,9 +1,9 @@
 #!/bin/sh
-# Workers cut connections, lose answers, answer half or answer rubbish under
-# another request's id.  The caller gets its own whole answer or is told that
-# the outcome is unknown; no half or foreign answer reaches it, a request
-# that ran isn't reported as "not run", and a non-idempotent one isn't tried
-# a second time.
+# Workers close connections, lose responses, and send truncated responses,
+# malformed ones or those of another request.  The caller gets the complete
+# response to its own request or an unknown outcome, never a truncated or
+# wrong response; a request that ran is not reported as "not run", and a
+# non-idempotent one is not retried.
 name=process_worker_faults
 . "$(dirname "$0")/lib.sh"
 
@@ -21,7 +21,7 @@
 end_load
 expect "jobs finished" "$(value "$report" .counts.jobs_finished)" 4
 [ "$(value "$report" '[.kinds[].answered] | add')" -gt 300 ] ||
-    fail "hardly any call was answered: $(value "$report" '.kinds | tostring')"
+    fail "too few calls were answered: $(value "$report" '.kinds | tostring')"
 check_workers
 check_tasks 16
 say "ok"
--- a/tests/test_base.cc
+++ b/tests/test_base.cc
@@ -1,4 +1,4 @@
-// The clock, the logger and the counters.
+// Tests of the clock, the logger and the counters.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -45,7 +45,7 @@
 	    text.find("level=warn event=task_lost entry=\"e 1\" "
 		      "task=j1/0 attempt=2\n"));
 	EXPECT_EQ(std::string::npos, text.find("not_shown"));
-	// A value from outside can't end the line or fake a pair.
+	// Untrusted values cannot end the line or forge a pair.
 	EXPECT_STREQ(
 	    "\"a\\\"b?c\"", log_quote("a\"b\nc", quoted, sizeof(quoted)));
 	EXPECT_STREQ(
--- a/tests/test_callers.cc
+++ b/tests/test_callers.cc
@@ -1,5 +1,5 @@
-// The callers' filters between a real HTTP client, scripted endpoints and
-// kvstand, all on one loop with a paused clock.
+// Tests of the HTTP service for callers with a real HTTP client, scripted
+// endpoints and kvstand, all on one event loop with a paused clock.
 #include "kvstand_fixture.h"
 
 #include <deque>
@@ -33,7 +33,7 @@
 	return nullptr;
 }
 
-/* Credits as a lender would give them, without peers. */
+/* Stub of the lend module: credits are set by the test, without peers. */
 static std::map<std::string, credit_worker> rows;
 static lend_changed *on_change;
 static void *on_change_ctx;
@@ -97,14 +97,15 @@
 namespace {
 
 struct Endpoint;
-using Act = std::function<void(Endpoint &, httpd_request *)>;
+using Behavior = std::function<void(Endpoint &, httpd_request *)>;
 
 struct Endpoint {
 	httpd *server = nullptr;
 	std::string id, attempt;
 	int runs = 0;
 	httpd_request *held = nullptr;
-	std::deque<Act> acts; /* one for each request; then whole() */
+	/* One per request; whole() after the last. */
+	std::deque<Behavior> behaviors;
 
 	void
 	reply(httpd_request *r, const char *body, const char *as_id = nullptr)
@@ -128,17 +129,19 @@
 	}
 };
 
-const Act hold = [](Endpoint &e, httpd_request *r) { e.held = r; };
-const Act cut = [](Endpoint &e, httpd_request *r) {
+const Behavior hold_response = [](Endpoint &e, httpd_request *r) {
+	e.held = r;
+};
+const Behavior truncate_response = [](Endpoint &e, httpd_request *r) {
 	e.begin(r);
 	httpd_abort(r);
 };
-const Act stream = [](Endpoint &e, httpd_request *r) { e.begin(r); };
-const Act other = [](Endpoint &e, httpd_request *r) {
+const Behavior begin_stream = [](Endpoint &e, httpd_request *r) { e.begin(r); };
+const Behavior respond_with_other_id = [](Endpoint &e, httpd_request *r) {
 	e.reply(r, "not yours", "other-id");
 };
 
-Act
+Behavior
 refuse(const char *why)
 {
 	return [why](Endpoint &e, httpd_request *r) {
@@ -239,7 +242,7 @@
 		d.ctx = endpoints.back().get();
 		d.handler = [](httpd_request *r, void *ctx) {
 			auto *ep = static_cast<Endpoint *>(ctx);
-			Act act = [](Endpoint &x, httpd_request *q) {
+			Behavior act = [](Endpoint &x, httpd_request *q) {
 				x.reply(q, "whole");
 			};
 			ep->id =
@@ -247,9 +250,9 @@
 			ep->attempt =
 			    httpd_request_header(r, "lagoonpin-attempt");
 			ep->runs++;
-			if (!ep->acts.empty()) {
-				act = ep->acts.front();
-				ep->acts.pop_front();
+			if (!ep->behaviors.empty()) {
+				act = ep->behaviors.front();
+				ep->behaviors.pop_front();
 			}
 			act(*ep, r);
 		};
@@ -346,10 +349,10 @@
 	}
 
 	void
-	act(const Act &a)
+	act(const Behavior &a)
 	{
 		for (auto &ep : endpoints)
-			ep->acts.push_back(a);
+			ep->behaviors.push_back(a);
 	}
 
 	Endpoint *
@@ -372,7 +375,7 @@
 };
 
 Headers
-payout(const char *id)
+non_idempotent(const char *id)
 {
 	return { { "lagoonpin-request-id", id } };
 }
@@ -391,8 +394,9 @@
 		{ { IDEMPOTENT, { "lagoonpin-deadline-ms", "5s" } }, "",
 		    nullptr, 400, "bad_deadline" },
 		{ {}, "", nullptr, 400, "missing_request_id" },
-		{ payout("a b"), "", nullptr, 400, "bad_request_id" },
-		{ payout(longid.c_str()), "", nullptr, 400, "header_too_long" },
+		{ non_idempotent("a b"), "", nullptr, 400, "bad_request_id" },
+		{ non_idempotent(longid.c_str()), "", nullptr, 400,
+		    "header_too_long" },
 		{ { { "lagoonpin-idempotent", "maybe" } }, "", nullptr, 400,
 		    "bad_header" },
 		{ { IDEMPOTENT, { "lagoonpin-priority", "high" } }, "", nullptr,
@@ -414,16 +418,18 @@
 	EXPECT_EQ(runs(), 0);
 }
 
-/* An endpoint refuses before it runs: certain, so even a payout goes to the
- * other one, and is run there once. */
+/* An endpoint refuses a call before running it.  The call certainly has not
+ * run, so even a non-idempotent one is sent to the other endpoint, where it
+ * runs once. */
 TEST_F(Callers, RefusedIsSentElsewhere)
 {
 	start(2, 2);
 	for (const char *why : { "full", "fenced" }) {
-		endpoints[0]->acts = { refuse(why) };
-		endpoints[1]->acts = { refuse(why) };
+		endpoints[0]->behaviors = { refuse(why) };
+		endpoints[1]->behaviors = { refuse(why) };
 		for (int i = 0; i < 8; i++)
-			expect(call(payout((why + std::to_string(i)).c_str())),
+			expect(call(non_idempotent(
+				   (why + std::to_string(i)).c_str())),
 			    200, "answered", "complete");
 	}
 	EXPECT_EQ(runs(), 16);
@@ -433,40 +439,41 @@
 	    4U);
 }
 
-/* The answer breaks off.  A payout may have run: unknown, sent no second
- * time, and its repeat is told so.  A balance check is sent again. */
+/* The response is truncated.  A non-idempotent call may have run: its outcome
+ * is unknown, it is not retried, and a repeat of its request id is refused.
+ * An idempotent call is retried. */
 TEST_F(Callers, CutAnswer)
 {
 	start(2, 2);
-	act(cut);
-	expect(call(payout("p1")), 502, "unknown", "answer_cut");
+	act(truncate_response);
+	expect(call(non_idempotent("p1")), 502, "unknown", "answer_cut");
 	EXPECT_EQ(runs(), 1);
-	expect(call(payout("p1")), 409, "unknown", "already_claimed");
+	expect(call(non_idempotent("p1")), 409, "unknown", "already_claimed");
 	EXPECT_EQ(runs(), 1);
 	expect(call({ IDEMPOTENT }), 200, "answered", "complete");
 	EXPECT_EQ(abandoned, 2);
 }
 
-/* An endpoint answers with somebody else's answer: the caller never gets
- * it. */
+/* An endpoint sends the response of another request.  It must not reach the
+ * caller. */
 TEST_F(Callers, AnswerToAnotherRequestIsDropped)
 {
 	start(2, 2);
-	act(other);
-	Reply &r = call(payout("p1"));
+	act(respond_with_other_id);
+	Reply &r = call(non_idempotent("p1"));
 	expect(r, 502, "unknown", "answer_mismatch");
 	EXPECT_EQ(r.body.find("not yours"), std::string::npos);
 	EXPECT_EQ(call({ IDEMPOTENT }).body, "whole");
 }
 
-/* One slot.  The first call outlasts its deadline, the second one waits
- * behind it until its own: the first may run, the second certainly doesn't.
- * The slot stays taken until the first has ended at the endpoint; its late
- * answer goes to nobody. */
+/* With one slot, the first call runs past its deadline and the second is
+ * queued until its own: the outcome of the first is unknown, the second has
+ * certainly not run.  The slot stays in use until the first call has ended at
+ * the endpoint; its late response is dropped. */
 TEST_F(Callers, DeadlinesAndTheLateAnswer)
 {
 	start(1, 1);
-	act(hold);
+	act(hold_response);
 	Reply &first =
 	    send({ IDEMPOTENT, { "lagoonpin-deadline-ms", "5000" } });
 	until([&] { return holder() != nullptr; });
@@ -484,13 +491,13 @@
 	EXPECT_EQ(runs(), 1);
 }
 
-/* The caller's connection breaks while its payout runs.  It repeats the id
- * and gets the answer of the one run. */
+/* The caller disconnects while its non-idempotent call runs, then repeats the
+ * request id: it gets the cached response, and the call has run once. */
 TEST_F(Callers, CallerThatLeftGetsTheKeptAnswer)
 {
 	start(1, 1);
-	act(hold);
-	Reply &gone = send(payout("p1"), "pay 17");
+	act(hold_response);
+	Reply &gone = send(non_idempotent("p1"), "pay 17");
 	until([&] { return holder() != nullptr; });
 	httpc_cancel(gone.call);
 	for (int i = 0; i < 100; i++)
@@ -498,21 +505,22 @@
 	Endpoint *ep = holder();
 	ep->reply(ep->held, "paid");
 	until([&] { return rows["w0"].spare.slots == 1; });
-	Reply &again = call(payout("p1"), "pay 17");
+	Reply &again = call(non_idempotent("p1"), "pay 17");
 	expect(again, 200, "answered", "kept_answer");
 	EXPECT_EQ(again.body, "paid");
-	expect(call(payout("p1"), "pay 18"), 409, "unknown", "already_claimed");
+	expect(call(non_idempotent("p1"), "pay 18"), 409, "unknown",
+	    "already_claimed");
 	EXPECT_EQ(runs(), 1);
 }
 
-/* The store is away: a payout can't be claimed and is refused for certain; a
- * balance check doesn't need the store.  The repeat of a payout that may
- * have run isn't told "not-run". */
+/* While the store is unavailable, a non-idempotent call cannot be claimed and
+ * is refused as not run; an idempotent call does not need the store.  The
+ * repeat of a call that may have run must not be answered "not-run". */
 TEST_F(Callers, StoreAway)
 {
 	start(2, 2);
-	act(cut);
-	expect(call(payout("p0")), 502, "unknown", "answer_cut");
+	act(truncate_response);
+	expect(call(non_idempotent("p0")), 502, "unknown", "answer_cut");
 	fault("down");
 	Reply &r = call({ { "lagoonpin-request-id", "p1" },
 	    { "lagoonpin-deadline-ms", "9000" } });
@@ -527,17 +535,17 @@
 	expect(call({ IDEMPOTENT }), 200, "answered", "complete");
 	fault("none");
 	clock_advance(2000);
-	until([&] { return call(payout("p2")).status == 200; });
+	until([&] { return call(non_idempotent("p2")).status == 200; });
 }
 
-/* The claim is written but its answer is lost; reading it back finds our own
- * record and the payout runs, once. */
+/* The claim is written but the store's response is lost.  Reading back finds
+ * the entry's own record, and the call runs once. */
 TEST_F(Callers, LostClaimIsReadBack)
 {
 	start(1, 1);
-	expect(call(payout("p0")), 200, "answered", "complete");
+	expect(call(non_idempotent("p0")), 200, "answered", "complete");
 	fault("lose_answers", ",\"only\":\"kv\"");
-	Reply &r = send(payout("p1"));
+	Reply &r = send(non_idempotent("p1"));
 	for (int i = 0; i < 3000; i++)
 		turn();
 	fault("none");
@@ -549,7 +557,7 @@
 TEST_F(Callers, WatchIsPassedOnAndItsCutIsSeen)
 {
 	start(1, 1);
-	act(stream);
+	act(begin_stream);
 	Reply &r = send({ IDEMPOTENT, WATCH });
 	until([&] { return r.body == "{}\n"; });
 	httpd_send(holder()->held, "{}\n", 3);
@@ -557,19 +565,19 @@
 	until([&] { return r.over; });
 	EXPECT_EQ(r.error, HTTPC_OK);
 	EXPECT_EQ(r.body, "{}\n{}\n");
-	act(cut);
+	act(truncate_response);
 	EXPECT_EQ(call({ IDEMPOTENT, WATCH }).error, HTTPC_ERR_BROKEN);
 	EXPECT_EQ(
 	    counted("lagoonpin_call_unknown", "reason=\"answer_cut\""), 1U);
 }
 
-/* The endpoint of a watch leaves: the watch goes on elsewhere in the same
- * answer.  Then the entry itself stops for long: the caller is told by a
- * last line to open it again, and the entry has nothing left to do. */
+/* When the endpoint of a watch drains, the watch is moved to another endpoint
+ * within the same response.  When the entry drains, the last line tells the
+ * caller to reopen the watch, and the entry's drain completes. */
 TEST_F(Callers, WatchIsMovedThenReopened)
 {
 	start(2, 1);
-	act(stream);
+	act(begin_stream);
 	Reply &r = send({ IDEMPOTENT, WATCH });
 	until([&] { return r.body == "{}\n"; });
 	infos[holder() == endpoints[0].get() ? 0 : 1].state = VM_LEAVING;
@@ -587,12 +595,12 @@
 	until([&] { return callers_module.drained(&e); });
 }
 
-/* A planned stop while a call is in flight and another one is queued: both
- * end as they would have, and only then the entry may leave. */
+/* A graceful shutdown with one call in flight and one queued: both complete
+ * normally, and the drain ends only after that. */
 TEST_F(Callers, DrainFinishesWhatIsInFlight)
 {
 	start(1, 1);
-	act(hold);
+	act(hold_response);
 	Reply &first = send({ IDEMPOTENT });
 	until([&] { return holder() != nullptr; });
 	Reply &second = send({ IDEMPOTENT });
@@ -609,7 +617,7 @@
 	until([&] { return callers_module.drained(&e); });
 }
 
-/* The next call on a connection that was open before the stop. */
+/* A call on a connection that was open before the shutdown is refused. */
 TEST_F(Callers, DrainRefusesNewCalls)
 {
 	start(1, 1);
--- a/tests/test_commit.cc
+++ b/tests/test_commit.cc
@@ -15,16 +15,16 @@
 
 const int64_t COMMIT_MS = 50;
 
-/* What happens to one transaction on its way. */
-enum Fate {
+/* What happens to one transaction between the client and the store. */
+enum Delivery {
 	ANSWERED,
 	NOT_SENT, /* certainly not applied */
-	LOST_BEFORE, /* unknown; never applied */
-	LOST_AFTER, /* unknown; applied at once */
-	LATE, /* unknown; applied after the next one */
-	VERY_LATE, /* unknown; applied when all is over */
+	LOST_BEFORE, /* outcome unknown; never applied */
+	LOST_AFTER, /* outcome unknown; applied immediately */
+	LATE, /* outcome unknown; applied after the next transaction */
+	VERY_LATE, /* outcome unknown; applied at the end of the run */
 	REFUSED,
-	FATES
+	DELIVERIES
 };
 
 struct Write {
@@ -33,7 +33,7 @@
 	int64_t revision;
 };
 
-/* A transaction as the network holds it. */
+/* Copy of a transaction in transit. */
 struct Sent {
 	std::vector<std::pair<std::string, int64_t>> compares;
 	std::vector<std::pair<std::string, std::string>> puts;
@@ -52,10 +52,11 @@
 	bool may_have_been_applied = false;
 };
 
-/* A store and the network before it, which follows a list of fates. */
+/* Model of the store and the network; each transaction is delivered as the
+ * list says. */
 class Model {
       public:
-	explicit Model(std::vector<Fate> list) : fates(std::move(list))
+	explicit Model(std::vector<Delivery> list) : deliveries(std::move(list))
 	{
 		struct commit_options o = {};
 
@@ -110,7 +111,7 @@
 		return o;
 	}
 
-	/* One step of the world: the answer under way, or the time. */
+	/* Delivers the pending response, or else advances the time by 1 ms. */
 	void
 	step()
 	{
@@ -133,9 +134,9 @@
 			apply(s.second);
 	}
 
-	std::vector<Fate> fates;
+	std::vector<Delivery> deliveries;
 	size_t sends = 0;
-	size_t rival_before = SIZE_MAX; /* of which transaction */
+	size_t competing_before = SIZE_MAX; /* transaction that it precedes */
 	struct commit *commit;
 	int64_t now_ms = 1000;
 	int64_t revision = 1;
@@ -167,8 +168,8 @@
 		EXPECT_FALSE(m->answer_due) << "two transactions at a time";
 		EXPECT_GE(m->now_ms, m->last_send_ms + COMMIT_MS);
 		m->last_send_ms = m->now_ms;
-		m->flying = copy(txn);
-		m->all_sent.push_back(m->flying);
+		m->in_flight = copy(txn);
+		m->all_sent.push_back(m->in_flight);
 		m->check_order();
 		m->answer_due = true;
 		return STORE_OK;
@@ -199,11 +200,11 @@
 		return s;
 	}
 
-	/* A put goes out only when all before it to its key have ended. */
+	/* A put is sent only after all earlier puts to its key have ended. */
 	void
 	check_order()
 	{
-		for (auto &p : flying.puts) {
+		for (auto &p : in_flight.puts) {
 			for (auto &o : outcomes) {
 				if (o->key != p.first)
 					continue;
@@ -233,18 +234,19 @@
 	void
 	answer()
 	{
-		Fate fate = sends < fates.size() ? fates[sends] : ANSWERED;
+		Delivery delivery =
+		    sends < deliveries.size() ? deliveries[sends] : ANSWERED;
 		struct store_txn_result r = {};
 		std::vector<struct store_kv> kvs;
 		std::vector<struct store_op_result> ops;
-		Sent s = flying;
+		Sent s = in_flight;
 
-		if (sends == rival_before) {
+		if (sends == competing_before) {
 			revision++;
 			write("a", "rival");
 		}
 		sends++;
-		switch (fate) {
+		switch (delivery) {
 		case ANSWERED:
 			r.succeeded = apply(s);
 			fill(r.succeeded ? s.gets : s.failure_gets, kvs, ops);
@@ -267,7 +269,7 @@
 			r.error = STORE_ERR_UNKNOWN;
 			break;
 		case REFUSED:
-		case FATES:
+		case DELIVERIES:
 			r.error = STORE_ERR_REFUSED;
 			break;
 		}
@@ -277,8 +279,8 @@
 				late.erase(late.begin() + (long)i--);
 			}
 		}
-		if (fate == LATE || fate == VERY_LATE)
-			late.emplace_back(fate == LATE, s);
+		if (delivery == LATE || delivery == VERY_LATE)
+			late.emplace_back(delivery == LATE, s);
 		commit_answer(commit, &r, now_ms);
 	}
 
@@ -306,7 +308,7 @@
 
 	bool answer_due = false;
 	int64_t last_send_ms = 0;
-	Sent flying;
+	Sent in_flight;
 	std::vector<std::pair<bool, Sent>> late;
 };
 
@@ -315,12 +317,13 @@
 {
 	std::string s = "fates";
 
-	for (Fate f : m.fates)
+	for (Delivery f : m.deliveries)
 		s += " " + std::to_string(f);
-	return s + " rival before " + std::to_string((long)m.rival_before);
+	return s + " competing write before " +
+	    std::to_string((long)m.competing_before);
 }
 
-/* What each caller was told, against what ever stood in the store. */
+/* Compares the results reported to callers with the store's history. */
 void
 check_outcomes(const Model &m)
 {
@@ -340,9 +343,9 @@
 			EXPECT_EQ(times, 1U) << o->value;
 			EXPECT_EQ(o->revision, at) << o->value;
 		} else if (o->outcome == COMMIT_UNKNOWN) {
-			/* Honest only where a second sending was refused. */
-			EXPECT_EQ(std::count(m.fates.begin() + 1, m.fates.end(),
-				      REFUSED) > 0,
+			/* Correct only if a later transaction was refused. */
+			EXPECT_EQ(std::count(m.deliveries.begin() + 1,
+				      m.deliveries.end(), REFUSED) > 0,
 			    true);
 		} else if (o->outcome == COMMIT_NOT_WRITTEN ||
 		    !o->may_have_been_applied) {
@@ -353,13 +356,13 @@
 
 /*
  * Four puts are queued: a new key together with the deletion of its inbox
- * item, a key whose revision is stale, a second put to the first key, and one
- * more key.  Each of the first transactions meets any fate: answered, not
- * sent, lost before or after its effect, applied late, refused; and a rival
- * may write the first key at any point.  In every such sequence each caller
- * hears once, and what it hears is true, also after the last late transaction
- * has arrived.  A put told as not written that is applied later would run a
- * task that was given up.
+ * item, a key with a stale expected revision, a second put to the first key,
+ * and another key.  Each of the first transactions is answered, not sent,
+ * lost before or after it is applied, applied late, or refused, in every
+ * combination; a competing writer may write the first key at any point.  In
+ * every sequence each caller gets exactly one result, which is still correct
+ * after the last delayed transaction is applied.  A put reported as not
+ * written but applied later would run a task that was given up.
  */
 TEST(Commit, every_sequence_of_lost_answers_ends_true)
 {
@@ -367,16 +370,18 @@
 	size_t sequences = 1;
 
 	for (size_t i = 0; i < depth; i++)
-		sequences *= FATES;
-	for (size_t rival = 0; rival <= depth; rival++) {
+		sequences *= DELIVERIES;
+	for (size_t competing = 0; competing <= depth; competing++) {
 		for (size_t n = 0; n < sequences && !HasFailure(); n++) {
-			std::vector<Fate> fates;
+			std::vector<Delivery> deliveries;
 			for (size_t i = 0, rest = n; i < depth; i++) {
-				fates.push_back((Fate)(rest % FATES));
-				rest /= FATES;
+				deliveries.push_back(
+				    (Delivery)(rest % DELIVERIES));
+				rest /= DELIVERIES;
 			}
-			Model m(fates);
-			m.rival_before = rival < depth ? rival : SIZE_MAX;
+			Model m(deliveries);
+			m.competing_before =
+			    competing < depth ? competing : SIZE_MAX;
 			SCOPED_TRACE(describe(m));
 			m.write("b", "b0");
 			m.write("inbox", "item");
--- a/tests/test_commit_loop.cc
+++ b/tests/test_commit_loop.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-struct Told {
+struct Result {
 	int done = 0;
 	enum commit_outcome outcome = COMMIT_UNKNOWN;
 	int64_t revision = 0;
@@ -18,14 +18,14 @@
 void
 note(const struct commit_result *r, void *ctx)
 {
-	auto *t = (Told *)ctx;
+	auto *t = (Result *)ctx;
 
 	t->done++;
 	t->outcome = r->outcome;
 	t->revision = r->mod_revision;
 }
 
-/* The whole way: group commit, store client, HTTP and the stand-in. */
+/* Group commit, store client, HTTP and the stand-in store together. */
 class CommitLoop : public KvstandTest {
       protected:
 	void
@@ -49,7 +49,7 @@
 
 	void
 	put(const std::string &key, const std::string &value, int64_t expected,
-	    Told *told)
+	    Result *result)
 	{
 		struct commit_request r = {};
 
@@ -58,7 +58,7 @@
 		r.len = value.size();
 		r.expected = expected;
 		r.done = note;
-		r.ctx = told;
+		r.ctx = result;
 		ASSERT_EQ(commit_loop_put(commit_, &r), STORE_OK);
 	}
 
@@ -79,20 +79,20 @@
 };
 
 /*
- * Half of all answers are lost after their effect, those of reading back too.
- * Each caller is told that its put was written, and at the revision at which
- * it is in the store; none is told a conflict with its own write.
+ * Half of the store's responses are lost after the request took effect,
+ * including those of reading back.  Each put must be reported as written, at
+ * its revision in the store, and none as a conflict with its own write.
  */
 TEST_F(CommitLoop, settles_lost_answers_over_the_wire)
 {
-	std::vector<Told> told(40);
+	std::vector<Result> result(40);
 	std::vector<std::pair<std::string, int64_t>> kept;
 	struct store_range_request all = {};
 
 	fault("lose_answers", ",\"probability_percent\":50");
-	for (size_t i = 0; i < told.size(); i++) {
+	for (size_t i = 0; i < result.size(); i++) {
 		put("k" + std::to_string(i), "v" + std::to_string(i), 0,
-		    &told[i]);
+		    &result[i]);
 		for (int t = 0; t < 15; t++)
 			turn();
 	}
@@ -110,9 +110,9 @@
 	    },
 	    &kept);
 	until([&] { return !kept.empty(); });
-	ASSERT_EQ(kept.size(), told.size());
+	ASSERT_EQ(kept.size(), result.size());
 	for (auto &k : kept) {
-		Told &t = told[std::stoul(k.first.substr(1))];
+		Result &t = result[std::stoul(k.first.substr(1))];
 		EXPECT_EQ(t.done, 1);
 		EXPECT_EQ(t.outcome, COMMIT_WRITTEN);
 		EXPECT_EQ(t.revision, k.second);
@@ -120,16 +120,16 @@
 }
 
 /*
- * An answer is lost, then the store is away for ten minutes.  The put stays in
- * doubt and is reported as pending; when the store is back it is settled as
- * written, which it was all the time.
+ * A response is lost, then the store is unavailable for ten minutes.  The put
+ * stays pending with its outcome unknown; once the store is available again,
+ * reading back finds that it was written.
  */
 TEST_F(CommitLoop, a_long_outage_ends_settled)
 {
-	Told told;
+	Result result;
 
 	fault("lose_answers");
-	put("a", "a1", 0, &told);
+	put("a", "a1", 0, &result);
 	for (int i = 0; i < 100; i++)
 		turn();
 	fault("down", ",\"for_ms\":600000");
@@ -137,26 +137,26 @@
 		clock_advance(999);
 		turn();
 	}
-	EXPECT_EQ(told.done, 0);
+	EXPECT_EQ(result.done, 0);
 	EXPECT_EQ(pending(), 1U);
 	until([&] { return pending() == 0; });
-	EXPECT_EQ(told.done, 1);
-	EXPECT_EQ(told.outcome, COMMIT_WRITTEN);
+	EXPECT_EQ(result.done, 1);
+	EXPECT_EQ(result.outcome, COMMIT_WRITTEN);
 }
 
-/* A loop that is closed with a put under way is freed by the late answer. */
+/* A commit loop closed with a put in flight is freed when that call ends. */
 TEST_F(CommitLoop, close_with_a_put_under_way)
 {
-	Told told;
+	Result result;
 
 	fault("freeze");
-	put("a", "a1", 0, &told);
+	put("a", "a1", 0, &result);
 	for (int i = 0; i < 100; i++)
 		turn();
 	commit_loop_close(commit_);
 	commit_ = nullptr;
-	EXPECT_EQ(told.done, 1);
-	EXPECT_EQ(told.outcome, COMMIT_UNKNOWN);
+	EXPECT_EQ(result.done, 1);
+	EXPECT_EQ(result.outcome, COMMIT_UNKNOWN);
 }
 
 } // namespace
--- a/tests/test_ctl.cc
+++ b/tests/test_ctl.cc
@@ -1,5 +1,5 @@
-// lagoonpinctl against a scripted entry on the same loop: what it sends, what
-// it prints and its exit status.
+// Tests of lagoonpinctl against scripted entries on the same event loop: its
+// requests, its output and its exit status.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -18,7 +18,7 @@
 	int status;
 	std::string body;
 	std::string outcome; // of a call
-	bool abort; // cut after the request arrived
+	bool abort; // connection closed after the request arrived
 };
 
 class Ctl : public ::testing::Test {
@@ -60,7 +60,7 @@
 		ctl_close(&ctl);
 	}
 
-	// An address where nobody listens any more.
+	// Returns an address that is no longer listened on.
 	std::string
 	dead()
 	{
@@ -219,7 +219,7 @@
 		int http;
 		const char *body;
 		int status;
-		const char *said;
+		const char *expected;
 	} cases[] = {
 		{ 400, R"({"error":"out_of_range","field":"deadline_ms"})",
 		    CTL_REFUSED, "out_of_range: deadline_ms" },
@@ -236,7 +236,7 @@
 		EXPECT_EQ(run({ "--entry", ports[0], "service", "create", "s",
 			      "deadline_ms=1" }),
 		    c.status);
-		EXPECT_NE(err.find(c.said), std::string::npos) << err;
+		EXPECT_NE(err.find(c.expected), std::string::npos) << err;
 	}
 	EXPECT_EQ(run({ "--entry", ports[0], "service", "show", "none" }),
 	    CTL_REFUSED);
@@ -251,10 +251,10 @@
 }
 
 /*
- * The operator sees one change at most.  The first entry gets the change and
- * is cut before it answers: the change may have been made, so it isn't sent
- * to the second entry and the operator is told that nobody knows.  A read
- * goes on to the second entry.
+ * A change must be made at most once.  The first entry receives the change and
+ * closes the connection without a response: the change may have been made, so
+ * it is not sent to the second entry and the outcome is reported as unknown.
+ * A read is retried at the second entry.
  */
 TEST_F(Ctl, WhatMayHaveBeenDoneIsNotSentTwice)
 {
--- a/tests/test_httpc.cc
+++ b/tests/test_httpc.cc
@@ -11,13 +11,13 @@
 
 namespace {
 
-/* What the peer does after it has read one whole request. */
+/* Response of the peer to one complete request. */
 struct Step {
 	std::string answer;
 	bool close;
 };
 
-/* A peer on the test's own loop that follows a script, request by request. */
+/* HTTP server on the test's event loop with one scripted step per request. */
 class Peer {
       public:
 	Peer(uv_loop_t *loop, std::vector<Step> steps)
@@ -105,8 +105,7 @@
 			return;
 		}
 		c->in.append(b->base, (size_t)n);
-		/* The requests of these tests end with "END" or have no body.
-		 */
+		/* Requests in these tests have no body or end with "END". */
 		if (c->in.find("\r\n\r\n") == std::string::npos ||
 		    (c->in[0] == 'P' && c->in.find("END") == std::string::npos))
 			return;
@@ -215,7 +214,7 @@
 		ASSERT_NE(client_, nullptr);
 	}
 
-	/* Ends the client's connections; the peer reads them to their end. */
+	/* Closes the client's connections; the peer reads them to the end. */
 	void
 	read_all_that_was_sent(Peer &p)
 	{
@@ -296,9 +295,9 @@
 }
 
 /*
- * The caller sees an error for each answer that may have been cut.  The peer
- * sends a part and closes.  A short answer taken for a whole one would hand a
- * tenant half of a balance list.
+ * The peer sends part of a response and closes the connection.  Every response
+ * that may be truncated must be reported as an error: one accepted as complete
+ * would give a tenant half of a balance list.
  */
 TEST_F(Httpc, cut_answer_is_broken)
 {
@@ -332,10 +331,10 @@
 }
 
 /*
- * A payout is sent on a kept connection; the peer reads it, then closes
- * without a byte of answer.  libcurl by itself sends such a request again on
- * a new connection, and the payout runs twice.  The caller must see one
- * request at the peer and an outcome that is unknown.
+ * A request is sent on a reused connection; the peer reads it and closes
+ * without sending a response.  By default libcurl retries such a request on a
+ * new connection, so a payout would run twice.  The peer must see one request,
+ * and its outcome is unknown.
  */
 TEST_F(Httpc, never_repeats_a_request_silently)
 {
@@ -380,8 +379,9 @@
 }
 
 /*
- * The sender's right to send has gone by the time the connection stands, as
- * after a pause of the process: nothing reaches the peer, and it is said so.
+ * The permission to send is withdrawn before the connection is established, as
+ * after a pause of the process: nothing may reach the peer, and the request is
+ * reported as not sent.
  */
 TEST_F(Httpc, asks_right_before_it_sends)
 {
@@ -403,9 +403,9 @@
 }
 
 /*
- * The peer never answers and the call's time runs out, before or after the
- * request went out, as the machine's load has it.  In either case "not sent"
- * is said only when the peer has read nothing.
+ * The peer never responds and the call times out, before or after the request
+ * was sent, depending on the machine's load.  "Not sent" may be reported only
+ * if the peer has read nothing.
  */
 TEST_F(Httpc, timeout_says_honestly_whether_it_was_sent)
 {
@@ -459,9 +459,9 @@
 }
 
 /*
- * Callbacks run while libcurl is on the stack, where it takes no new call and
- * gives none up.  Cancelling and starting there must work all the same, each
- * call ending exactly once.
+ * Callbacks run inside libcurl, which can neither add nor remove a transfer
+ * there.  Cancelling and starting calls in a callback must still work, and
+ * each call must end exactly once.
  */
 TEST_F(Httpc, cancels_and_starts_within_callbacks)
 {
--- a/tests/test_httpd.cc
+++ b/tests/test_httpd.cc
@@ -1,4 +1,4 @@
-// The HTTP server against a raw client on the same loop.
+// Tests of the HTTP server with a raw TCP client on the same event loop.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -109,7 +109,7 @@
 		ASSERT_EQ(0, uv_loop_close(&loop));
 	}
 
-	// Run the loop until the condition holds.
+	// Runs the event loop until the condition holds.
 	void
 	until(const std::function<bool()> &condition)
 	{
@@ -159,8 +159,8 @@
 	EXPECT_TRUE(client.has("third"));
 }
 
-// The caller sees the first piece, then the connection breaks before the
-// last chunk: it can't take what it has for the whole answer.
+// The client gets the first piece, then the connection is closed before the
+// last chunk, so that it cannot take the response for complete.
 TEST_F(HttpdTest, AbortedAnswerNeverLooksComplete)
 {
 	handler = [&](struct httpd_request *r) { kept = r; };
@@ -174,8 +174,8 @@
 	EXPECT_FALSE(client.has("0\r\n\r\n"));
 }
 
-// The caller sees the connection break without an answer, at once and not
-// at its own timeout: there was nothing to say.
+// A request aborted before its response closes the connection immediately, so
+// that the client need not wait for its own timeout.
 TEST_F(HttpdTest, AbortBeforeTheAnswerBreaksTheConnection)
 {
 	handler = [&](struct httpd_request *r) { httpd_abort(r); };
@@ -184,8 +184,8 @@
 	EXPECT_FALSE(client.has("HTTP/1.1 200"));
 }
 
-// The caller leaves while its request waits, or while pieces are sent.  The
-// handler is told once, so that work for nobody can stop.
+// The client disconnects while its request waits or its response is being
+// sent.  The handler is notified once, so that it can stop unneeded work.
 TEST_F(HttpdTest, TellsWhenTheCallerIsGone)
 {
 	for (bool streaming : { false, true }) {
@@ -227,7 +227,7 @@
 	handler = [&](struct httpd_request *r) { kept = r; };
 	send(kGet);
 	until([&] { return kept != nullptr; });
-	// TearDown closes with the request unanswered and must end.
+	// TearDown closes the server with the request open and must return.
 }
 
 TEST_F(HttpdTest, TakesASecondRequestOnTheConnection)
@@ -241,13 +241,13 @@
 	until([&] { return client.has("answer 2"); });
 }
 
-// A planned stop: the listener closes, and the server soon after.  The
-// process ended in an assertion of h2o, whose shutdown timer was still set.
+// A graceful shutdown closes the listener and soon after the server.  This
+// used to fail an assertion in h2o, whose shutdown timer was still active.
 TEST_F(HttpdTest, ClosesSoonAfterItStopsListening)
 {
 	httpd_stop_listening(httpd);
 	uv_run(&loop, UV_RUN_NOWAIT);
-	// TearDown closes it.
+	// TearDown closes the server.
 }
 
 TEST(HttpdOpenTest, RefusesABadAddress)
--- a/tests/test_kvstand.cc
+++ b/tests/test_kvstand.cc
@@ -148,7 +148,7 @@
 		std::string *key;
 		enum kvs_target target;
 		int64_t number;
-		int order; /* of what is there against the number */
+		int order; /* of the stored value relative to the number */
 	} cases[] = {
 		{ &key, KVS_MOD, 3, 0 },
 		{ &key, KVS_MOD, 2, 1 },
@@ -230,8 +230,8 @@
 }
 
 /*
- * Compaction must leave every read at and after its revision as it was, in
- * any history; a reader that resumes there would else miss a key.
+ * Compaction must not change the result of any read at or after its revision,
+ * for any history; otherwise a reader that resumes there would miss a key.
  */
 TEST_F(Kvs, compaction_keeps_what_later_reads_need)
 {
--- a/tests/test_ledger_json.cc
+++ b/tests/test_ledger_json.cc
@@ -73,7 +73,7 @@
 	ledger_doc_free(&doc);
 }
 
-/* A record cut anywhere, or with a field spoilt, is refused by name. */
+/* A truncated record is refused, and an invalid field is named. */
 TEST(LedgerJson, RefusesWhatIsNotWhole)
 {
 	const struct {
--- a/tests/test_load.cc
+++ b/tests/test_load.cc
@@ -29,9 +29,9 @@
 };
 
 /*
- * A caller gets an answer late, crossed with another caller's, or cut.  The
- * load tool must tell each of these from the right one, or no run that it
- * passes proves anything.
+ * A caller may get a late response, the response of another request or a
+ * truncated one.  The load tool must detect each of them; otherwise a passed
+ * run proves nothing.
  */
 TEST(Check, OnlyTheAnswerToTheOwnRequestIsRight)
 {
@@ -134,7 +134,8 @@
 	for (int i = 0; i < 1000; i++) {
 		plan_next(a, &ra);
 		if (i % 3 == 0)
-			plan_target(a, false); /* repeats shift nothing */
+			plan_target(
+			    a, false); /* repeats do not change the plan */
 		plan_next(b, &rb);
 		ASSERT_EQ(ra.at_us, rb.at_us);
 		ASSERT_EQ(ra.kind, rb.kind);
--- a/tests/test_operators.cc
+++ b/tests/test_operators.cc
@@ -1,5 +1,5 @@
-// The operators' API and the watch of two entries against kvstand, all on one
-// loop with a paused clock.
+// Tests of the operators' API and the configuration watch of two entries
+// against kvstand, all on one event loop with a paused clock.
 #include <gtest/gtest.h>
 
 #include <jansson.h>
@@ -243,7 +243,7 @@
 		});
 	}
 
-	// A write by nobody who checks: another program, a newer entry.
+	// Writes without validation, as another program or a newer entry may.
 	void
 	put_raw(const char *key, const std::string &value)
 	{
@@ -338,9 +338,9 @@
 }
 
 /*
- * Two operators change the same team at the same moment through two entries.
- * Exactly one is told yes; the other gets a conflict with the record as it
- * stands; the first one's value is in force on both.
+ * Two operators concurrently change the same team through two entries.
+ * Exactly one change is accepted; the other gets a conflict with the current
+ * record; the accepted value comes into force on both entries.
  */
 TEST_F(Operators, OfTwoChangesAtOneMomentOneWins)
 {
@@ -367,14 +367,14 @@
 }
 
 /*
- * The operator is told the truth though half of the store's answers are lost
- * after their effect.  A change that took effect is answered as accepted, not
- * as a conflict with itself, and one that is answered as not stored isn't.
+ * Half of the store's responses are lost after the write took effect.  A
+ * change that took effect must be reported as accepted, not as a conflict
+ * with itself, and a change reported as not stored must not be in the store.
  */
 TEST_F(Operators, ALostAnswerIsSettled)
 {
 	int accepted = 0, refused = 0;
-	std::set<std::string> yes;
+	std::set<std::string> accepted_names;
 	struct answer a;
 
 	fault(R"({"mode":"lose_answers","only":"kv",)"
@@ -384,7 +384,7 @@
 
 		a = ask(i % 2, "PUT", "/v1/teams/" + name, team(name, i, 0));
 		if (a.status == 200)
-			yes.insert(name);
+			accepted_names.insert(name);
 		else
 			EXPECT_EQ(a.status, 503) << a.body;
 		(a.status == 200 ? accepted : refused)++;
@@ -397,7 +397,7 @@
 
 		EXPECT_EQ(
 		    conf_team(entry_conf(&nodes[1].e), name.c_str()) != nullptr,
-		    yes.count(name) != 0)
+		    accepted_names.count(name) != 0)
 		    << name;
 	}
 	printf("accepted %d, refused %d, sent again %llu\n", accepted, refused,
@@ -410,8 +410,8 @@
 }
 
 /*
- * While the store is away operators read what is in force and are told that
- * nothing was stored.
+ * While the store is unavailable, reads return the configuration in force and
+ * changes are refused as not stored.
  */
 TEST_F(Operators, WithoutTheStoreReadsGoOnAndChangesAreRefused)
 {
--- a/tests/test_peer.cc
+++ b/tests/test_peer.cc
@@ -51,7 +51,7 @@
 		std::string at = "127.0.0.1:" + std::to_string(peer_port(to));
 		ASSERT_EQ(PEER_OK, peer_connect(from, id, at.c_str()));
 	}
-	// Until the connection stands the send is refused.
+	// A send is refused until the connection is established.
 	void
 	Send(struct peer *from, const char *id, const std::string &s)
 	{
@@ -86,8 +86,9 @@
 	std::vector<struct peer *> open;
 };
 
-// Many messages arrive between two rounds of the loop.  The descriptor gives
-// one edge for all of them; if not all were read, the rest would wait for ever.
+// Many messages arrive between two iterations of the event loop.  The
+// edge-triggered descriptor signals them once; messages not read then would
+// never be delivered.
 TEST_F(Peer, ReadsAllMessagesOfOneEdge)
 {
 	Received at_a, at_b;
@@ -120,7 +121,7 @@
 		EXPECT_EQ(PEER_ERR_BUSY, peer_send(a, "b", "x", 1));
 	EXPECT_EQ(before + 10, counter_value(dropped));
 	EXPECT_EQ(PEER_ERR_UNKNOWN, peer_send(a, "c", "x", 1));
-	// It comes back at another port.
+	// The peer restarts at another port.
 	b = Open(&at_b);
 	Connect(a, "b", b);
 	Send(a, "b", "hello");
--- a/tests/test_record.cc
+++ b/tests/test_record.cc
@@ -1,5 +1,5 @@
-// Operators' records: each version read and answered as its operator wrote
-// it; all else refused naming the field.
+// Tests of operators' records: each schema version is read and written back
+// unchanged; invalid records are refused with the name of the field.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
--- a/tests/test_refused.cc
+++ b/tests/test_refused.cc
@@ -19,8 +19,8 @@
 
 } // namespace
 
-// A list is read again every few seconds: its foreign entries would fill the
-// log, and their count would say how often the list was read.
+// The list is read again every few seconds: without deduplication its invalid
+// entries would fill the log, and the counter would count reads of the list.
 TEST(Refused, AnEntryCountsOnceForAReason)
 {
 	struct refused r;
--- a/tests/test_replay.cc
+++ b/tests/test_replay.cc
@@ -135,8 +135,8 @@
 }
 
 /*
- * w1 fails every task after 2 s and so is always free.  The work must go
- * through w2 with few failures, and w1 be used again once it is well.
+ * w1 fails every task after 2 s and therefore always has room.  The tasks must
+ * run on w2 with few failures, and w1 must be used again once it works.
  */
 TEST(Replay, AWorkerThatFailsEverythingCostsFewAttempts)
 {
@@ -148,7 +148,7 @@
 	tally plain = run(text, "least-loaded");
 	EXPECT_LE(ours.failures, 15);
 	EXPECT_GT(plain.failures, 100);
-	/* w2 alone could do 45 in the time. */
+	/* w2 alone could complete 45 tasks in this time. */
 	EXPECT_EQ(ours.done, 50);
 }
 
@@ -169,7 +169,8 @@
 		"{\"type\":\"fault\",\"what\":\"store_away\",\"from_ms\":30000,"
 		"\"until_ms\":300000}\n",
 	    "least-loaded");
-	/* 4 ran and at most 4 ahead for each of 2 workers, and those before. */
+	/* 4 running and at most 4 bound ahead on each of 2 workers, and those
+	 * completed before. */
 	EXPECT_GE(y.done, 8);
 	EXPECT_LE(y.done, 4 + 4 + 8);
 }
@@ -183,9 +184,9 @@
 }
 
 /*
- * Pairs are learnt from late measurements of VMs that hold a dozen tasks
- * each.  Where one kind harms the service half as much again as another,
- * what is learnt must order them as the trace has them.
+ * Interference effects of pairs are learned from delayed measurements of VMs
+ * with a dozen tasks each.  Where one kind slows the service at least 1.5 times
+ * as much as another, the learned effects must be in the trace's order.
  */
 TEST(Replay, LearnsWhichKindsDisturbTheService)
 {
@@ -200,7 +201,7 @@
 	world *w = world_open(r.t, policy_find("lagoonpin"), 1);
 	world_run(w);
 	int compared = 0;
-	/* The last kind is the wave, too short to be told apart. */
+	/* The last kind is the wave, too short for its effect to be learned. */
 	for (int a = 1; a < r.t->nkinds - 1; a++) {
 		for (int b = 1; b < r.t->nkinds - 1; b++) {
 			double by[2];
--- a/tests/test_settings.cc
+++ b/tests/test_settings.cc
@@ -1,4 +1,5 @@
-// Settings: flags over environment over default; bad values refused by name.
+// Tests of settings: flags override the environment, which overrides defaults;
+// an invalid value is refused with the name of its setting.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
--- a/tests/test_store.cc
+++ b/tests/test_store.cc
@@ -81,7 +81,7 @@
 		l->ttl_s = r->ttl_s;
 	}
 
-	/* Puts the key if its revision is as given; fetches it if not. */
+	/* Puts the key if its revision is the expected one, else reads it. */
 	void
 	start_cas(Txn &t, const std::string &key, const std::string &value,
 	    int64_t expected, int64_t lease = 0)
@@ -168,9 +168,9 @@
 }
 
 /*
- * The platform applies a write and its answer is lost.  The caller must be
- * told "unknown", never "failed" and never a second attempt, and finds its
- * write when it reads back.
+ * The store applies a write and the response is lost.  The outcome must be
+ * reported as unknown, never as failed, the write must not be retried, and
+ * the caller finds it by reading back.
  */
 TEST_F(Store, lost_answer_is_unknown_and_found_by_reading_back)
 {
@@ -189,9 +189,9 @@
 }
 
 /*
- * A write ends in one of three ways, by what can be known: refused by name,
- * not applied for certain, or unknown.  "Not applied" for a write that was
- * applied would start a task twice.
+ * A failed write is reported as refused with a reason, certainly not applied,
+ * or unknown.  Reporting an applied write as not applied would start a task
+ * twice.
  */
 TEST_F(Store, says_of_a_failed_write_what_is_certain)
 {
@@ -260,13 +260,13 @@
 }
 
 /*
- * A caller starts its refused call anew from the callback, as a loop over all
- * keys does.  Each refusal must wait for the loop's next turn; else the entry
- * hangs here and answers nobody.
+ * A caller retries its refused call from the callback, as a loop over all
+ * keys does.  Each refusal must be delivered in a later iteration of the event
+ * loop; otherwise the entry hangs in this recursion and serves no requests.
  */
 TEST_F(Store, refused_call_started_anew_lets_the_loop_go_on)
 {
-	/* Ends the test where the loop would never go on. */
+	/* Ends the test if the event loop would never continue. */
 	static const int REFUSED_MAX = 1000;
 	struct Again {
 		struct store *store;
@@ -276,7 +276,7 @@
 
 	again.store = open(0.001);
 	r.key = "k";
-	static store_range_done *const start_anew =
+	static store_range_done *const retry =
 	    [](const struct store_range_result *result, void *ctx) {
 		    auto *a = (Again *)ctx;
 		    struct store_range_request next = {};
@@ -285,9 +285,9 @@
 		    a->refused += result->error == STORE_ERR_BUDGET;
 		    if (result->error != STORE_ERR_CANCELLED &&
 			a->refused < REFUSED_MAX)
-			    store_range(a->store, &next, start_anew, a);
+			    store_range(a->store, &next, retry, a);
 	    };
-	store_range(store_, &r, start_anew, &again);
+	store_range(store_, &r, retry, &again);
 	for (int turns = 1; turns < 100; turns++) {
 		store_tick(store_, clock_now_ms());
 		EXPECT_LE(again.refused, turns);
@@ -400,9 +400,9 @@
 }
 
 /*
- * The store goes down under a watch, changes happen once it is back, and the
- * watch resumes.  The caller must see each change once: an event missed is
- * configuration that never comes into force.
+ * The store goes down while a watch is open, keys change once it is back, and
+ * the watch resumes.  Each change must be reported exactly once: a missed
+ * event would be configuration that never comes into force.
  */
 TEST_F(StoreWatch, resumes_after_the_last_revision_seen)
 {
@@ -424,9 +424,9 @@
 }
 
 /*
- * While a watch is cut off the store forgets the revisions that it needs to
- * resume.  The caller is told to load everything anew, once, and nothing
- * after that: going on with a gap would hide a change for ever.
+ * While a watch is disconnected, the store compacts the revisions that it
+ * needs to resume.  The caller is told once to reload everything and gets no
+ * events after that: resuming with a gap would lose a change permanently.
  */
 TEST_F(StoreWatch, compaction_is_told_and_final)
 {
@@ -453,8 +453,8 @@
 }
 
 /*
- * The peer of a watch freezes without closing.  The watch is silent and looks
- * alive; after watch_idle_ms it is opened anew.
+ * The server of a watch hangs without closing the connection.  The watch gets
+ * no data and no error; after watch_idle_ms it is reopened.
  */
 TEST_F(StoreWatch, silent_watch_is_opened_anew)
 {
@@ -489,8 +489,9 @@
 }
 
 /*
- * A write is frozen inside the store when the store client is closed.  It may
- * still be applied, so it ends as unknown; a read ends as cancelled.
+ * The store client is closed while the store holds a write without a response.
+ * The write may still be applied, so its outcome is unknown; a read ends as
+ * cancelled.
  */
 TEST_F(Store, close_says_of_each_call_what_is_certain)
 {
@@ -529,8 +530,8 @@
 }
 
 /*
- * The daemon stops from whatever callback it is in, with calls and watches
- * open.  Each other call still ends exactly once.
+ * The daemon may close the client from any callback, with calls and watches
+ * open.  Each other call must still end exactly once.
  */
 TEST_F(StoreWatch, close_is_allowed_in_every_callback)
 {
--- a/tests/test_vmstand.cc
+++ b/tests/test_vmstand.cc
@@ -31,7 +31,7 @@
 		return error;
 	}
 
-	/* "id:state" of each VM that readers see. */
+	/* Returns "id:state" of each VM in the list that readers get. */
 	std::string
 	seen(int64_t now_ms)
 	{
@@ -55,8 +55,8 @@
 const char *const LIVE = R"({"kind":"worker","ip":"127.0.0.1","state":"live"})";
 
 /*
- * A VM leaves; readers go on seeing it live until the lag is over.  Each
- * change shows by itself, in order, never a later one first.
+ * A VM changes to leaving; readers get it as live until the lag has passed.
+ * Changes become visible one by one and in order.
  */
 TEST_F(VmsTest, ReadersSeeEachChangeAfterTheLag)
 {
--- a/tests/test_wire.cc
+++ b/tests/test_wire.cc
@@ -10,8 +10,8 @@
 #include "wireconf.h"
 }
 
-// A message may claim four thousand million items: the decoder's request for
-// that much memory must fail as it does in the daemon, not end the test.
+// A message may claim four thousand million items: the decoder's allocation
+// must return NULL as in the daemon, not abort the test.
 extern "C" const char *
 __asan_default_options()
 {
@@ -115,8 +115,8 @@
 	EXPECT_STREQ("unknown_version", wire_strerror(WIRE_ERR_VERSION));
 }
 
-// Each single changed byte either still decodes or is refused by name; run
-// with the sanitizers this also shows that none is read out of bounds.
+// A message with any single byte changed either decodes or is refused with a
+// reason; under the sanitizers this also detects reads out of bounds.
 TEST(Wire, ChangedBytesNeverBreakTheDecoders)
 {
 	struct member_digest d = {}, back;
@@ -174,7 +174,7 @@
 	EXPECT_EQ((size_t)MEMBER_DIGEST_MAX, back.nrecords);
 	EXPECT_STREQ("sala-sur.r1", back.shards[0].shard);
 	EXPECT_EQ(12u, back.shards[0].epoch);
-	// No entry may say that another is dead.
+	// No entry may report another as dead.
 	d.records[1].state = MEMBER_DEAD;
 	Buffer dead;
 	wire_encode_digest(&dead.b, &d);
--- a/tests/test_workstand.cc
+++ b/tests/test_workstand.cc
@@ -101,9 +101,9 @@
 };
 
 /*
- * A former owner wakes from a pause and sends what it had decided before.
- * The new owner has fenced the worker since.  Every message of the former
- * owner is refused, since each carries the lower epoch.
+ * A former owner resumes after a pause and sends messages decided before it.
+ * The new owner has fenced the worker meanwhile.  Every message of the former
+ * owner must be refused because of its lower epoch.
  */
 TEST_F(WorkerTest, EveryMessageAtALowerEpochIsRefused)
 {
@@ -124,8 +124,8 @@
 }
 
 /*
- * A start overtaken by the stop of its attempt arrives late.  It must not
- * run, since the owner has started the next attempt elsewhere by then.
+ * The start of an attempt arrives after its stop.  It must not run, since the
+ * owner may have started the next attempt on another worker.
  */
 TEST_F(WorkerTest, AnAttemptOnceEndedNeverStarts)
 {
@@ -134,7 +134,7 @@
 	EXPECT_EQ(WORKER_ERR_STALE, start(a, "j/0", 3, 1));
 	EXPECT_EQ(WORKER_ERR_STALE, start(a, "j/0", 2, 1));
 	EXPECT_EQ(WORKER_OK, start(a, "j/0", 4, 1));
-	EXPECT_EQ(WORKER_OK, start(a, "j/0", 4, 2)) << "a repeat";
+	EXPECT_EQ(WORKER_OK, start(a, "j/0", 4, 2)) << "repeated start";
 	EXPECT_EQ(1u, totals().starts);
 	worker_tick(a, 600);
 	EXPECT_EQ(WORKER_ERR_STALE, start(a, "j/0", 4, 700)) << "finished";
@@ -149,16 +149,17 @@
 	worker_tick(a, 501);
 	EXPECT_EQ(std::vector<std::string>{ "j/0:done" }, ends(a));
 	worker_ack(a, "j/0", 2);
-	EXPECT_TRUE(worker_has_end(a, "dc.r1")) << "another attempt's ack";
+	EXPECT_TRUE(worker_has_end(a, "dc.r1"))
+	    << "acknowledgement of another attempt";
 	worker_ack(a, "j/0", 1);
 	EXPECT_FALSE(worker_has_end(a, "dc.r1"));
 	EXPECT_EQ(0, worker_used(a)->cpu_millis);
 }
 
 /*
- * The owner is gone and nobody renews.  The task must be over when its lease
- * is, even if it would be done at the same moment, since a new owner counts
- * on that.  A renewal that comes later doesn't bring it back.
+ * The owner has failed and the lease is not renewed.  The task must end when
+ * its lease expires, even if it would complete at the same time, since a new
+ * owner relies on that.  A later renewal does not resume it.
  */
 TEST_F(WorkerTest, ALeaseThatRanOutEndsTheTask)
 {
@@ -182,8 +183,9 @@
 }
 
 /*
- * The answer to a checkpoint is lost and the owner asks again.  The task has
- * stopped already; its token must come again, or its work would be lost.
+ * The response to a checkpoint request is lost and the owner repeats it.  The
+ * task has already stopped; its token must be returned again, or its work
+ * would be lost.
  */
 TEST_F(WorkerTest, ACheckpointIsAnsweredAgainAndResumes)
 {
@@ -233,7 +235,7 @@
 	s = task("j/1", 1);
 	s.cpu_used_millis = 7500;
 	worker_start_task(a, &s, 1);
-	EXPECT_DOUBLE_EQ(4, worker_slowdown(a)) << "8 of 4 cores wanted";
+	EXPECT_DOUBLE_EQ(4, worker_slowdown(a)) << "8 of 4 cores requested";
 }
 
 struct RoomRow {
@@ -242,7 +244,7 @@
 	worker_error expected;
 };
 
-/* A start beyond the capacity is refused, and the asking is on record. */
+/* A start beyond the capacity is refused and counted. */
 TEST_F(WorkerTest, RoomIsKeptAndWhatWasAskedIsRecorded)
 {
 	const RoomRow rows[] = {
@@ -288,9 +290,9 @@
 }
 
 /*
- * A new owner fences a worker under load and may hand out only what is free.
- * Calls of the former epoch are counted apart, so that it sees each of their
- * slots come free although new calls have taken others.
+ * A new owner fences a worker under load and may issue credits only for free
+ * slots.  Calls of lower epochs are counted separately, so that it learns of
+ * each of their slots that becomes free while new calls use others.
  */
 TEST_F(WorkerTest, CallsOfLowerEpochsAreCountedApart)
 {
@@ -324,8 +326,8 @@
 }
 
 /*
- * Two owners believe they own a task and start it on two workers.  Each
- * worker alone sees nothing wrong; the witness of the process does.
+ * Two entries act as owner of a task and start it on two workers.  Neither
+ * worker can detect this; the witness of the process does.
  */
 TEST_F(WorkerTest, TheWitnessSeesATaskInTwoPlaces)
 {
