--- a/entry/members.c
+++ b/entry/members.c
@@ -471,7 +471,7 @@
 }
 
 void
-members_resign(struct node *node, bool alone)
+members_resign(struct node *node, bool exclusive)
 {
 	struct member *member;
 
@@ -479,7 +479,7 @@
 		members_send(node, member->id,
 		    json_pack("{ss ss sI sb}", "t", "resign", "id", node->id,
 			"term", (json_int_t)node->elect.leader.term, "alone",
-			(int)alone));
+			(int)exclusive));
 }
 
 static void
